--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -7,7 +7,7 @@
     CentreName, ClassRank, Depth, GuardNews, Instance, Priority, Retries, RootId, Slots, StartStamp,
 };
 use bramleymount::policy::admission::{Admission, Decision, Outcome, Settings, Token, Waiting};
-use bramleymount::policy::retry::Account;
+use bramleymount::policy::retry::RetryAccount;
 use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -50,8 +50,8 @@
     for call in 0..CALLS {
         let root = RootId::new(rng.random());
         let priority = Priority::new(ClassRank::new(1), Depth::new(1), root);
-        let mut account = Account::open(Retries::new(3));
-        let loan = account.lend();
+        let mut account = RetryAccount::new(Retries::new(3));
+        let loan = account.grant();
         let table = &mut tables[call as usize % SERVICES];
         let want = Want {
             level: priority.level(),
@@ -74,7 +74,7 @@
         if admission.arrive(now, waiting).0 == Decision::Start {
             black_box(admission.finish(now, token, Outcome::Answered));
         }
-        account.settle(loan.id, loan.retries);
+        account.reclaim(loan.id, loan.retries);
         black_box(account.close());
     }
     start.elapsed().as_nanos() as f64 / CALLS as f64
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -10,7 +10,7 @@
 use bramleymount::policy::member::{
     Beat, Change, Member, MemberState, View, is_delegate, neighbours,
 };
-use bramleymount::policy::rate::Ring;
+use bramleymount::policy::rate::HashRing;
 use bramleymount::policy::route::Balance;
 use bramleymount::tables::Routes;
 use tokio::time::Instant;
@@ -57,7 +57,7 @@
         }),
         micros(|| routes.update(estate, &view)),
         micros(|| {
-            black_box(Ring::new(&view));
+            black_box(HashRing::new(&view));
         }),
     ]
 }
--- a/benches/overload/world/caller.rs
+++ b/benches/overload/world/caller.rs
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn enter(&mut self, root: usize) {
-        self.roots[root].account = Some(Account::open(Retries::new(RETRIES)));
+        self.roots[root].account = Some(RetryAccount::new(Retries::new(RETRIES)));
         let entry = self.roots[root].entry;
         let call = self.new_call(root, None, 0, 0, entry);
         self.attempt(call, None);
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -46,7 +46,7 @@
     pub(super) fn with_account<T>(
         &mut self,
         call: CallId,
-        use_it: impl FnOnce(&mut Account) -> T,
+        use_it: impl FnOnce(&mut RetryAccount) -> T,
     ) -> Option<T> {
         let c = &self.calls[call];
         let account = match c.parent {
@@ -100,7 +100,7 @@
             );
         }
         if self.variant.control == Control::Now {
-            let loan = self.with_account(call, Account::lend);
+            let loan = self.with_account(call, RetryAccount::grant);
             self.calls[call].loan = loan;
         }
         let silent = self.servers[entry].silent.contains(&target);
@@ -181,7 +181,7 @@
         if self.variant.control == Control::Now {
             self.report(call, Report::Failed);
             if let Some(loan) = self.calls[call].loan.take() {
-                self.with_account(call, |account| account.write_off(loan.id));
+                self.with_account(call, |account| account.discard(loan.id));
             }
         }
         self.again(call, Verdict::MayHaveRun, false);
@@ -223,12 +223,12 @@
                     .map_or(Retries::new(0), |loan| loan.retries),
             };
             if let Some(loan) = self.calls[call].loan.take() {
-                self.with_account(call, |account| account.settle(loan.id, rest));
+                self.with_account(call, |account| account.reclaim(loan.id, rest));
             }
         }
         if whole {
             let key = (self.calls[call].entry, self.calls[call].service);
-            self.ratios.entry(key).or_default().answered();
+            self.ratios.entry(key).or_default().record_answer();
             return self.done(call);
         }
         let overload = self.calls[call].failed.is_some();
@@ -254,21 +254,21 @@
             }
             return self.give_up(call);
         }
-        let failure = Failure {
+        let failure = FailedAttempt {
             verdict,
             overload,
-            left: Duration::from_secs_f64(left / 1000.0),
+            time_left: Duration::from_secs_f64(left / 1000.0),
         };
         let key = (self.calls[call].entry, self.calls[call].service);
         let mut ratio = self.ratios.get(&key).copied().unwrap_or_default();
         if self.variant.off == Off::Ratio {
-            ratio = Ratio::default();
+            ratio = RetryRatio::default();
         }
         let decided = self.with_account(call, |account| {
-            decide(failure, Safety::Idempotent, account, || ratio.take())
+            decide_retry(failure, RepeatSafety::Safe, account, || ratio.try_take())
         });
         self.ratios.insert(key, ratio);
-        if decided == Some(Retry::Again) {
+        if decided == Some(RetryDecision::Retry) {
             self.roots[root].retries += 1;
             self.attempt(call, target);
         } else {
--- a/benches/overload/world/guard.rs
+++ b/benches/overload/world/guard.rs
@@ -8,7 +8,7 @@
             return;
         };
         if let Some(loan) = self.calls[call].loan {
-            self.calls[call].account = Some(Account::open(loan.retries));
+            self.calls[call].account = Some(RetryAccount::new(loan.retries));
         }
         match self.variant.control {
             Control::Now => self.admit(id, call),
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -17,7 +17,9 @@
 use bramleymount::policy::admission::{
     Admission, Decision, Event as Admitted, Met, Outcome, Settings, Shed, Token, Waiting,
 };
-use bramleymount::policy::retry::{Account, Failure, Loan, Ratio, Retry, Safety, decide};
+use bramleymount::policy::retry::{
+    FailedAttempt, RepeatSafety, RetryAccount, RetryDecision, RetryGrant, RetryRatio, decide_retry,
+};
 use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -65,7 +67,7 @@
     /// The request of which this is a repeat, or this one itself.
     original: usize,
     repeats: u32,
-    account: Option<Account>,
+    account: Option<RetryAccount>,
     retries: u32,
     work_ms: f64,
     ended: bool,
@@ -81,8 +83,8 @@
     entry: ServerId,
     target: Option<ServerId>,
     attempts: u32,
-    loan: Option<Loan>,
-    account: Option<Account>,
+    loan: Option<RetryGrant>,
+    account: Option<RetryAccount>,
     next: usize,
     started: f64,
     running: bool,
@@ -125,7 +127,7 @@
     by_instance: HashMap<Instance, ServerId>,
     by_service: Vec<Vec<ServerId>>,
     names: Vec<ServiceName>,
-    ratios: HashMap<(ServerId, usize), Ratio>,
+    ratios: HashMap<(ServerId, usize), RetryRatio>,
     disturbed: bool,
     pub(crate) whole: Vec<f64>,
     /// When each request was first sent, and whether it was answered whole.
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -7,7 +7,7 @@
 
 use super::file::{CallersEntry, ListenEntry, RatesEntry, RepeatsEntry};
 use crate::declare::Errors;
-use crate::policy::rate::Terms;
+use crate::policy::rate::RateTolerance;
 use crate::policy::retry::AllowanceSettings;
 
 /// Largest number of requests under way on one connection.
@@ -60,9 +60,13 @@
     }
 }
 
-pub(super) fn check_rates(path: &Path, entry: Option<RatesEntry>, errors: &mut Errors) -> Terms {
+pub(super) fn check_rates(
+    path: &Path,
+    entry: Option<RatesEntry>,
+    errors: &mut Errors,
+) -> RateTolerance {
     let Some(entry) = entry else {
-        return Terms::default();
+        return RateTolerance::default();
     };
     if !(0.0..=1.0).contains(&entry.over.value) {
         errors.at(path, &entry.over, "over must be from 0 to 1, such as 0.1");
@@ -74,9 +78,9 @@
             "slack must be from 0 to 1000000 requests",
         );
     }
-    Terms {
+    RateTolerance {
         window: entry.window.get(),
-        over: entry.over.value,
+        excess: entry.over.value,
         slack: entry.slack.value,
         sharing: entry.sharing,
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::model::{CentreName, HallName, ServiceName, Span};
 use crate::policy::front::Front;
-use crate::policy::rate::Terms;
+use crate::policy::rate::RateTolerance;
 use crate::policy::retry::AllowanceSettings;
 use crate::policy::route::Balance;
 
@@ -44,7 +44,7 @@
     /// What the platform allows of retries.
     pub repeats: AllowanceSettings,
     /// What the platform tolerates of workspaces that exceed their rates.
-    pub rates: Terms,
+    pub rates: RateTolerance,
 }
 
 /// The settings of one daemon.
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -26,7 +26,7 @@
     PlatformProtocol, RowStore, serve_announcements, serve_readiness, watch_configuration,
 };
 use crate::policy::member::{Beat, Duty, DutyTerm, Member, MemberState, View};
-use crate::policy::rate::Terms;
+use crate::policy::rate::RateTolerance;
 use crate::store::{Feed, HttpPlatform, Platform};
 use crate::tables::{
     Calls, Current, Decisions, Homes, Journal, Notices, Rates, Readiness, Routes, Shared, Splits,
@@ -239,7 +239,7 @@
         rates: Rates::new(
             config
                 .hosting
-                .map_or_else(Terms::default, |hosting| hosting.rates),
+                .map_or_else(RateTolerance::default, |hosting| hosting.rates),
         ),
         journal: Journal::default(),
         decisions: Decisions::default(),
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -16,7 +16,7 @@
     WorkspaceId, WorkspaceName,
 };
 use crate::policy::front::Options;
-use crate::policy::retry::Safety;
+use crate::policy::retry::RepeatSafety;
 use crate::tables::{Held, Shared};
 
 /// A request that was understood.
@@ -26,7 +26,7 @@
     /// The call of the own backend server that this one serves, if any.
     pub(super) parent: Option<Arc<Held>>,
     /// Whether the call may run twice.
-    pub(super) safety: Safety,
+    pub(super) safety: RepeatSafety,
     /// Retries of the request, if it has no parent.
     pub(super) retries: Retries,
     /// Most backend servers that the call is sent to.
@@ -93,9 +93,9 @@
         None => class.idempotent || parts.method.is_safe(),
     };
     let safety = if once.is_some() || !idempotent {
-        Safety::Once
+        RepeatSafety::Unsafe
     } else {
-        Safety::Idempotent
+        RepeatSafety::Safe
     };
     let head = head(
         parts,
--- a/src/entry/again.rs
+++ b/src/entry/again.rs
@@ -6,7 +6,7 @@
 use crate::call::{Reason, Refusal, Scope};
 use crate::model::Verdict;
 use crate::policy::admission::Shed;
-use crate::policy::retry::{Failure, Retry, decide};
+use crate::policy::retry::{FailedAttempt, RetryDecision, decide_retry};
 
 /// Most guards that one call is refused by before it is given up; more would
 /// make refusals late.
@@ -69,21 +69,21 @@
         } else {
             failed.verdict()
         };
-        let failure = Failure {
+        let failure = FailedAttempt {
             verdict,
             overload: failed.reason().is_overload(),
-            left: head.deadline.saturating_duration_since(Instant::now()),
+            time_left: head.deadline.saturating_duration_since(Instant::now()),
         };
         let safety = self.accepted.safety;
         let now = Instant::now();
         let (level, root) = (head.priority.level(), head.root);
         self.table(|table| {
             self.purse.with(|account| {
-                decide(failure, safety, account, || {
-                    table.retries().take(now, level, root)
+                decide_retry(failure, safety, account, || {
+                    table.retries().try_take(now, level, root)
                 })
             })
-        }) == Retry::Again
+        }) == RetryDecision::Retry
     }
 
     /// Decides whether a call that no backend server has seen is tried at
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -8,7 +8,7 @@
 use crate::guard::held;
 use crate::model::Instance;
 use crate::policy::admission::Shed;
-use crate::policy::crash::{Standing, Suspect};
+use crate::policy::crash::{RunRestriction, Suspect};
 use crate::policy::once::{Place, Refuse};
 use crate::policy::route::{Pick, Table, Want};
 
@@ -22,7 +22,7 @@
         if Instant::now() >= head.deadline {
             return Err(attempt.refuse(Reason::Shed(Shed::Deadline), ""));
         }
-        if let Some(Standing::Held(left)) = self.standing() {
+        if let Some(RunRestriction::Quarantined(left)) = self.standing() {
             return Err(held(attempt, left));
         }
         if let Some(once) = &head.once {
@@ -86,7 +86,7 @@
     }
 
     /// Returns what may be done with the request by what is known of crashes.
-    fn standing(&self) -> Option<Standing> {
+    fn standing(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
         Some(self.context.shared.suspects.standing(request))
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -16,7 +16,7 @@
 use crate::peer::{self, Message};
 use crate::policy::admission::Met;
 use crate::policy::front::{CUT_OFF, is_cut_off};
-use crate::policy::retry::{Account, Loan, Safety};
+use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
 use crate::policy::route::Table;
 use crate::tables::{Detail, Step};
 use crate::web::Payload;
@@ -57,7 +57,7 @@
     pub(super) fn new(context: &'e Context, accepted: &'e Accepted) -> Self {
         let purse = match &accepted.parent {
             Some(held) => Purse::Parent(Arc::clone(held)),
-            None => Purse::Own(Mutex::new(Account::open(accepted.retries))),
+            None => Purse::Own(Mutex::new(RetryAccount::new(accepted.retries))),
         };
         Self {
             context,
@@ -126,7 +126,7 @@
 
     async fn attempts(&mut self, body: Bytes) -> Result<Reply, Refusal> {
         let now = Instant::now();
-        self.table(|table| table.retries().asked(now));
+        self.table(|table| table.retries().record_call(now));
         self.refresh_home().await?;
         let mut last = None;
         loop {
@@ -179,7 +179,7 @@
         target: Instance,
         body: Payload,
     ) -> Result<Reply, Refusal> {
-        let loan = self.purse.with(Account::lend);
+        let loan = self.purse.with(RetryAccount::grant);
         let journal = &self.context.shared.journal;
         journal.note(self.head().call, Step::Sent, Detail::Target(target));
         let sent = Sending::new(self, target);
@@ -239,10 +239,11 @@
             return false;
         }
         let now = Instant::now();
-        self.accepted.safety == Safety::Once || !self.table(|table| table.is_fresh(now, target))
+        self.accepted.safety == RepeatSafety::Unsafe
+            || !self.table(|table| table.is_fresh(now, target))
     }
 
-    fn settle(&self, loan: Loan, result: &Result<Reply, Refusal>) {
+    fn settle(&self, loan: RetryGrant, result: &Result<Reply, Refusal>) {
         let rest = match result {
             Ok(reply) => Some(reply.head.account),
             Err(refusal) if refusal.news.is_some() => Some(refusal.account),
@@ -250,8 +251,8 @@
             Err(_) => None,
         };
         self.purse.with(|account| match rest {
-            Some(rest) => account.settle(loan.id, rest),
-            None => account.write_off(loan.id),
+            Some(rest) => account.reclaim(loan.id, rest),
+            None => account.discard(loan.id),
         });
     }
 }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -25,7 +25,7 @@
 use crate::peer::Pool;
 use crate::policy::admission::Shed;
 use crate::policy::once::Refuse;
-use crate::policy::retry::Repeats;
+use crate::policy::retry::RepeatDetector;
 use crate::policy::route::TargetState;
 use crate::tables::{Detail, Shared, Step};
 use crate::web::{CallerAnswer, Payload};
@@ -40,7 +40,7 @@
 /// Takes calls and brings back their answers.
 pub struct Entry {
     pub(super) context: Context,
-    repeats: Mutex<Repeats>,
+    repeats: Mutex<RepeatDetector>,
     in_flight: AtomicUsize,
     closed: AtomicBool,
 }
--- a/src/entry/rate.rs
+++ b/src/entry/rate.rs
@@ -6,7 +6,7 @@
 use super::context::Context;
 use crate::call::{Attempt, Reason, Refusal};
 use crate::declare::Limit;
-use crate::policy::rate::{Asked, Taken};
+use crate::policy::rate::{CreditDecision, CreditQuery};
 use crate::tables::{Credit, spread};
 use crate::task::ask_for_credit;
 
@@ -42,22 +42,22 @@
             told.as_mut().enable();
             let members = self.shared.ring().len();
             let taken = self.shared.rates.take(&credit, limit, members);
-            let waits = taken == Taken::Ask;
+            let waits = taken == CreditDecision::AskCoordinator;
             if let Some(asked) = self.shared.rates.begin_asking(&credit, waits) {
                 self.ask(workspace, &credit, asked);
             }
             match taken {
-                Taken::Yes => return Ok(Some(Paid(Arc::clone(&credit)))),
-                Taken::No(wait) => return Err(over(limit, wait)),
-                Taken::Ask if credit.is_asking() => told.await,
+                CreditDecision::Admit => return Ok(Some(Paid(Arc::clone(&credit)))),
+                CreditDecision::Refuse(wait) => return Err(over(limit, wait)),
+                CreditDecision::AskCoordinator if credit.is_asking() => told.await,
                 // It has been answered just now.
-                Taken::Ask => tokio::task::yield_now().await,
+                CreditDecision::AskCoordinator => tokio::task::yield_now().await,
             }
         }
     }
 
     /// Asks the coordinator, also if the request that needs it is given up.
-    fn ask(&self, workspace: &CallerWorkspace, credit: &Arc<Credit>, asked: Asked) {
+    fn ask(&self, workspace: &CallerWorkspace, credit: &Arc<Credit>, asked: CreditQuery) {
         let (shared, pool) = (Arc::clone(&self.shared), Arc::clone(&self.pool));
         let (name, credit) = (workspace.name.clone(), Arc::clone(credit));
         tokio::spawn(ask_for_credit(shared, pool, name, credit, asked));
--- a/src/entry/sending.rs
+++ b/src/entry/sending.rs
@@ -55,7 +55,7 @@
             table.report(now, self.target, report);
             self.time(table, now, result);
             if let Ok(reply) = result {
-                table.retries().answered();
+                table.retries().record_answer();
                 self.learn(table, reply);
             }
         });
--- a/src/guard/trial.rs
+++ b/src/guard/trial.rs
@@ -10,7 +10,7 @@
 use super::Guard;
 use crate::call::{Attempt, CallHead, Planned, Reason, Refusal};
 use crate::policy::admission::Shed;
-use crate::policy::crash::Standing;
+use crate::policy::crash::RunRestriction;
 
 /// Requests that were under way at one crash and run here at one time. The
 /// next crash leaves so many suspects, which then run one by one; with 60 calls
@@ -73,16 +73,16 @@
     /// Waits until a call may run beside the suspects that run here.
     pub(super) async fn leave_to_run(&self, head: &CallHead) -> Result<Leave, Barred> {
         let end = head.deadline.min(Instant::now() + WAIT);
-        let mut has = Standing::Clear;
+        let mut has = RunRestriction::Unrestricted;
         let mut permit = None;
         loop {
             let standing = self.standing(head);
             let semaphore = match standing {
-                Standing::Held(left) => return Err(Barred::Held(left)),
+                RunRestriction::Quarantined(left) => return Err(Barred::Held(left)),
                 _ if standing == has => return Ok(Leave { _permit: permit }),
-                Standing::Clear => return Ok(Leave { _permit: None }),
-                Standing::Few => &self.trials.few,
-                Standing::Alone => &self.trials.alone,
+                RunRestriction::Unrestricted => return Ok(Leave { _permit: None }),
+                RunRestriction::FewAtOnce => &self.trials.few,
+                RunRestriction::OneAtOnce => &self.trials.alone,
             };
             // What it had goes back first: others wait for that.
             drop(permit.take());
@@ -99,13 +99,15 @@
     /// it waited for a slot.
     pub(super) fn check_held(&self, head: &CallHead) -> Result<(), Barred> {
         match self.standing(head) {
-            Standing::Held(left) => Err(Barred::Held(left)),
-            Standing::Clear | Standing::Few | Standing::Alone => Ok(()),
+            RunRestriction::Quarantined(left) => Err(Barred::Held(left)),
+            RunRestriction::Unrestricted
+            | RunRestriction::FewAtOnce
+            | RunRestriction::OneAtOnce => Ok(()),
         }
     }
 
-    fn standing(&self, head: &CallHead) -> Standing {
+    fn standing(&self, head: &CallHead) -> RunRestriction {
         let of = |request| self.shared.suspects.standing(request);
-        head.fingerprint.map_or(Standing::Clear, of)
+        head.fingerprint.map_or(RunRestriction::Unrestricted, of)
     }
 }
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -6,7 +6,7 @@
 use super::generated as wire;
 use super::pool::Pool;
 use crate::model::{Instance, WorkspaceName};
-use crate::policy::rate::{Asked, Lent};
+use crate::policy::rate::{CreditGrant, CreditQuery};
 use crate::tables::Shared;
 
 /// The path of questions for credit.
@@ -17,7 +17,7 @@
 
 /// What a daemon says to a question for credit.
 enum Answer {
-    Lent(Lent),
+    Lent(CreditGrant),
     /// Another daemon coordinates the workspace.
     Elsewhere(Instance),
 }
@@ -28,8 +28,8 @@
     shared: &Shared,
     pool: &Pool,
     workspace: &WorkspaceName,
-    asked: Asked,
-) -> Option<Lent> {
+    asked: CreditQuery,
+) -> Option<CreditGrant> {
     let answered = tokio::time::timeout(TIMEOUT, find(shared, pool, workspace, asked)).await;
     answered.ok().flatten()
 }
@@ -38,8 +38,8 @@
     shared: &Shared,
     pool: &Pool,
     workspace: &WorkspaceName,
-    asked: Asked,
-) -> Option<Lent> {
+    asked: CreditQuery,
+) -> Option<CreditGrant> {
     let first = shared.ring().coordinator(workspace)?;
     match ask(shared, pool, first, workspace, asked, false).await? {
         Answer::Lent(lent) => Some(lent),
@@ -55,7 +55,7 @@
     pool: &Pool,
     coordinator: Instance,
     workspace: &WorkspaceName,
-    asked: Asked,
+    asked: CreditQuery,
     redirected: bool,
 ) -> Option<Answer> {
     let own = shared.instance.address;
@@ -65,11 +65,11 @@
     let request = wire::CreditRequest {
         workspace: workspace.to_string(),
         from: own.to_string(),
-        held: asked.held,
-        want: asked.want,
+        held: asked.balance,
+        want: asked.amount,
         demand: asked.demand,
         redirected,
-        alone: asked.alone,
+        alone: asked.local_admits,
     };
     let client = pool.plain(coordinator.address);
     let reply: wire::CreditReply = match client.ask(CREDIT_PATH, &request).await {
@@ -84,7 +84,7 @@
         return Some(Answer::Elsewhere(other));
     }
     reply.known.then(|| {
-        Answer::Lent(Lent {
+        Answer::Lent(CreditGrant {
             credit: amount(reply.credit),
             share: amount(reply.share),
             wait: Duration::from_millis(u64::from(reply.wait_ms)),
@@ -110,11 +110,11 @@
             ..unknown
         };
     }
-    let asked = Asked {
-        held: amount(request.held),
-        want: amount(request.want),
+    let asked = CreditQuery {
+        balance: amount(request.held),
+        amount: amount(request.want),
         demand: amount(request.demand),
-        alone: amount(request.alone),
+        local_admits: amount(request.alone),
     };
     match shared.lend(&workspace, from, asked) {
         None => unknown,
--- a/src/peer/suspect.rs
+++ b/src/peer/suspect.rs
@@ -9,23 +9,25 @@
 use super::id::{id_bytes, id_of};
 use crate::error::Error;
 use crate::model::CrashId;
-use crate::policy::crash::{Strike, Suspect};
+use crate::policy::crash::{CrashRecord, Suspect};
 
 /// Most strikes, and callers, that are read of one suspect.
 const MAX_PARTS: usize = 64;
 
 /// Writes what is known of a suspect.
 pub(super) fn suspect_out(suspect: &Suspect, now: Instant) -> wire::Suspect {
-    let age = now.saturating_duration_since(suspect.latest).as_millis();
+    let age = now
+        .saturating_duration_since(suspect.last_crash)
+        .as_millis();
     wire::Suspect {
-        asked: id_bytes(suspect.asked),
-        strikes: suspect.strikes.iter().map(strike_out).collect(),
-        answered: suspect.answered.iter().copied().collect(),
+        asked: id_bytes(suspect.digest),
+        strikes: suspect.records.iter().map(strike_out).collect(),
+        answered: suspect.answered_callers.iter().copied().collect(),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
     }
 }
 
-fn strike_out(strike: &Strike) -> wire::Strike {
+fn strike_out(strike: &CrashRecord) -> wire::Strike {
     wire::Strike {
         crash: strike.crash.get(),
         caller: strike.caller,
@@ -39,20 +41,20 @@
 /// Fails if its id has another length.
 pub(super) fn suspect_in(message: &wire::Suspect, now: Instant) -> Result<Suspect, Error> {
     let age = Duration::from_millis(u64::from(message.age_ms));
-    let strikes: BTreeSet<Strike> = message
+    let strikes: BTreeSet<CrashRecord> = message
         .strikes
         .iter()
         .take(MAX_PARTS)
-        .map(|strike| Strike {
+        .map(|strike| CrashRecord {
             crash: CrashId::new(strike.crash),
             caller: strike.caller,
         })
         .collect();
     Ok(Suspect {
-        asked: id_of(&message.asked)?,
-        strikes,
-        answered: message.answered.iter().take(MAX_PARTS).copied().collect(),
-        latest: now.checked_sub(age).unwrap_or(now),
+        digest: id_of(&message.asked)?,
+        records: strikes,
+        answered_callers: message.answered.iter().take(MAX_PARTS).copied().collect(),
+        last_crash: now.checked_sub(age).unwrap_or(now),
     })
 }
 
--- a/src/policy/crash/mod.rs
+++ b/src/policy/crash/mod.rs
@@ -5,10 +5,10 @@
 //! is under way at one crash after another, it is never answered, and it
 //! crashes a server also while no other suspect runs there.
 
-mod standing;
+mod restriction;
 mod suspect;
 mod suspects;
 
-pub use standing::Standing;
-pub use suspect::{Strike, Suspect};
+pub use restriction::RunRestriction;
+pub use suspect::{CrashRecord, Suspect};
 pub use suspects::Suspects;
--- a/src/policy/crash/standing.rs
+++ b/src/policy/crash/restriction.rs
@@ -4,15 +4,15 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RunRestriction {
     /// Nothing speaks against it.
-    Clear,
+    Unrestricted,
     /// It was under way at one crash: a server runs few such requests at one
     /// time, so that the next crash leaves few suspects.
-    Few,
+    FewAtOnce,
     /// It was under way at more crashes: a server runs one such request at one
     /// time, so that the next crash tells whether it is the cause.
-    Alone,
+    OneAtOnce,
     /// No server runs it for this long.
-    Held(Duration),
+    Quarantined(Duration),
 }
--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::{Standing, Strike, Suspect};
+use super::{CrashRecord, RunRestriction, Suspect};
 use crate::model::{CrashId, Fingerprint};
 use crate::policy::member::Change;
 
@@ -15,134 +15,137 @@
 /// The requests that were under way at crashes, bounded in number and time.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    known: HashMap<u128, (Suspect, Change)>,
+    suspects: HashMap<u128, (Suspect, Change)>,
     change: Change,
 }
 
 impl Suspects {
     /// Returns the number of requests that are remembered.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.suspects.len()
     }
 
     /// Tells whether no request is remembered.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.suspects.is_empty()
     }
 
     /// Returns what may be done with a request.
-    pub fn standing(&self, now: Instant, request: Fingerprint) -> Standing {
-        match self.known.get(&request.asked) {
-            Some((suspect, _)) => suspect.standing(now, request, self.is_only(now, suspect)),
-            None => Standing::Clear,
+    pub fn restriction(&self, now: Instant, request: Fingerprint) -> RunRestriction {
+        match self.suspects.get(&request.asked) {
+            Some((suspect, _)) => {
+                suspect.restriction(now, request, self.is_only_candidate(now, suspect))
+            }
+            None => RunRestriction::Unrestricted,
         }
     }
 
     /// Tells whether no other suspect was under way at all crashes that this
     /// one was at.
-    fn is_only(&self, now: Instant, suspect: &Suspect) -> bool {
-        suspect.is_grave()
-            && !self.known.values().any(|(other, _)| {
-                other.asked != suspect.asked && !other.is_over(now) && other.explains(suspect)
+    fn is_only_candidate(&self, now: Instant, suspect: &Suspect) -> bool {
+        suspect.is_likely_cause()
+            && !self.suspects.values().any(|(other, _)| {
+                other.digest != suspect.digest && !other.is_expired(now) && other.covers(suspect)
             })
     }
 
     /// Takes note that a request was under way at a crash; returns whether
     /// that is new.
-    pub fn crashed(&mut self, now: Instant, request: Fingerprint, crash: CrashId) -> bool {
-        let strike = Strike {
+    pub fn record_crash(&mut self, now: Instant, request: Fingerprint, crash: CrashId) -> bool {
+        let record = CrashRecord {
             crash,
             caller: request.caller,
         };
-        let mut suspect = self.take(now, request.asked);
-        let new = suspect.strike(now, strike);
-        self.put(suspect, new);
-        new
+        let mut suspect = self.get_or_new(now, request.asked);
+        let is_new = suspect.add_record(now, record);
+        self.store(suspect, is_new);
+        is_new
     }
 
     /// Takes note that a server answered a request; returns whether it was
     /// suspected.
-    pub fn answered(&mut self, now: Instant, request: Fingerprint) -> bool {
-        if !self.known.contains_key(&request.asked) {
+    pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
+        if !self.suspects.contains_key(&request.asked) {
             return false;
         }
-        let mut suspect = self.take(now, request.asked);
-        let new = suspect.answer(request.caller);
-        self.put(suspect, new);
-        new
+        let mut suspect = self.get_or_new(now, request.asked);
+        let is_new = suspect.add_answer(request.caller);
+        self.store(suspect, is_new);
+        is_new
     }
 
     /// Takes what another daemon knows of a request; returns whether that is
     /// more than was known here.
-    pub fn merge(&mut self, now: Instant, news: &Suspect) -> bool {
-        if news.is_over(now) {
+    pub fn merge(&mut self, now: Instant, update: &Suspect) -> bool {
+        if update.is_expired(now) {
             return false;
         }
-        let known = self.known.get(&news.asked);
+        let known = self.suspects.get(&update.digest);
         let mut suspect = match known {
-            Some((suspect, _)) if !suspect.is_over(now) => suspect.clone(),
-            _ => Suspect::new(news.asked, news.latest),
+            Some((suspect, _)) if !suspect.is_expired(now) => suspect.clone(),
+            _ => Suspect::new(update.digest, update.last_crash),
         };
-        let more = suspect.merge(news);
-        if more {
-            self.make_room(now, news.asked);
+        let changed = suspect.merge(update);
+        if changed {
+            self.make_room(now, update.digest);
         }
-        self.put(suspect, more);
-        more
+        self.store(suspect, changed);
+        changed
     }
 
     /// Returns what is known of a request.
-    pub fn get(&self, now: Instant, asked: u128) -> Option<&Suspect> {
-        let (suspect, _) = self.known.get(&asked)?;
-        (!suspect.is_over(now)).then_some(suspect)
+    pub fn get(&self, now: Instant, digest: u128) -> Option<&Suspect> {
+        let (suspect, _) = self.suspects.get(&digest)?;
+        (!suspect.is_expired(now)).then_some(suspect)
     }
 
     /// Returns what changed after `since`, and the count of changes.
-    pub fn changed(&self, now: Instant, since: Change) -> (Vec<Suspect>, Change) {
+    pub fn changes_since(&self, now: Instant, since: Change) -> (Vec<Suspect>, Change) {
         let later =
-            |(suspect, change): &&(Suspect, Change)| *change > since && !suspect.is_over(now);
-        let suspects = self.known.values().filter(later);
+            |(suspect, change): &&(Suspect, Change)| *change > since && !suspect.is_expired(now);
+        let suspects = self.suspects.values().filter(later);
         let suspects = suspects.map(|(suspect, _)| suspect.clone()).collect();
         (suspects, self.change)
     }
 
     /// Forgets what is over.
-    pub fn forget(&mut self, now: Instant) {
-        self.known.retain(|_, (suspect, _)| !suspect.is_over(now));
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.suspects
+            .retain(|_, (suspect, _)| !suspect.is_expired(now));
     }
 
-    fn take(&mut self, now: Instant, asked: u128) -> Suspect {
-        match self.known.get(&asked) {
-            Some((suspect, _)) if !suspect.is_over(now) => suspect.clone(),
+    fn get_or_new(&mut self, now: Instant, digest: u128) -> Suspect {
+        match self.suspects.get(&digest) {
+            Some((suspect, _)) if !suspect.is_expired(now) => suspect.clone(),
             _ => {
-                self.make_room(now, asked);
-                Suspect::new(asked, now)
+                self.make_room(now, digest);
+                Suspect::new(digest, now)
             }
         }
     }
 
     /// Puts a suspect back, as a change where something is new.
-    fn put(&mut self, suspect: Suspect, new: bool) {
-        if new {
+    fn store(&mut self, suspect: Suspect, is_new: bool) {
+        if is_new {
             self.change = Change(self.change.0 + 1);
-            self.known.insert(suspect.asked, (suspect, self.change));
+            self.suspects.insert(suspect.digest, (suspect, self.change));
         }
     }
 
     /// Makes room for one more: what is over goes, else what least speaks
     /// against, the oldest first.
-    fn make_room(&mut self, now: Instant, asked: u128) {
-        if self.known.len() < MAX_SUSPECTS || self.known.contains_key(&asked) {
+    fn make_room(&mut self, now: Instant, digest: u128) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&digest) {
             return;
         }
-        self.forget(now);
-        if self.known.len() < MAX_SUSPECTS {
+        self.remove_expired(now);
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self.known.values().map(|(suspect, _)| suspect);
-        let least = least.min_by_key(|suspect| (suspect.crashes(), suspect.latest));
-        if let Some(asked) = least.map(|suspect| suspect.asked) {
-            self.known.remove(&asked);
+        let least = self.suspects.values().map(|(suspect, _)| suspect);
+        let least = least.min_by_key(|suspect| (suspect.crash_count(), suspect.last_crash));
+        if let Some(digest) = least.map(|suspect| suspect.digest) {
+            self.suspects.remove(&digest);
         }
     }
 }
--- a/src/policy/rate/demand.rs
+++ b/src/policy/rate/arrival_rate.rs
@@ -6,35 +6,35 @@
 
 /// The mean rate of arrivals over about the last `memory`.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Demand {
+pub(super) struct ArrivalRate {
     /// Time after which an arrival counts a third as much.
     memory: Duration,
     /// Arrivals that still count.
     weight: f64,
-    at: Instant,
+    last_update: Instant,
 }
 
-impl Demand {
+impl ArrivalRate {
     pub(super) fn new(now: Instant, memory: Duration) -> Self {
         Self {
             memory,
             weight: 0.0,
-            at: now,
+            last_update: now,
         }
     }
 
-    pub(super) fn arrived(&mut self, now: Instant) {
-        self.weight = self.at(now) + 1.0;
-        self.at = now;
+    pub(super) fn record(&mut self, now: Instant) {
+        self.weight = self.weight_at(now) + 1.0;
+        self.last_update = now;
     }
 
     /// Returns the arrivals a second.
     pub(super) fn rate(&self, now: Instant) -> f64 {
-        self.at(now) / self.memory.as_secs_f64()
+        self.weight_at(now) / self.memory.as_secs_f64()
     }
 
-    fn at(&self, now: Instant) -> f64 {
-        self.weight * decay(now.saturating_duration_since(self.at), self.memory)
+    fn weight_at(&self, now: Instant) -> f64 {
+        self.weight * decay(now.saturating_duration_since(self.last_update), self.memory)
     }
 }
 
--- a/src/policy/rate/mod.rs
+++ b/src/policy/rate/mod.rs
@@ -15,13 +15,13 @@
 //! taking over after a failure from distributed hash tables, as in the location
 //! mechanism of Rilling and Morin (2004, section 3).
 
+mod arrival_rate;
 mod bucket;
-mod demand;
+mod local_credit;
 mod ring;
-mod stock;
-mod terms;
+mod tolerance;
 
-pub use bucket::{Asked, Bucket, Lent};
-pub use ring::Ring;
-pub use stock::{Stock, Taken};
-pub use terms::{Sharing, Terms};
+pub use bucket::{CreditBucket, CreditGrant, CreditQuery};
+pub use local_credit::{CreditDecision, LocalCredit};
+pub use ring::HashRing;
+pub use tolerance::{RateTolerance, Sharing};
--- a/src/policy/rate/ring.rs
+++ b/src/policy/rate/ring.rs
@@ -7,52 +7,53 @@
 
 /// Places of each member, so that the members coordinate about as many
 /// workspaces each.
-const PLACES: u64 = 8;
+const POINTS_PER_MEMBER: u64 = 8;
 
 /// The members in order of their hashes. When one comes or goes, only the
 /// workspaces next to its places change hands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ring {
-    places: Vec<(u64, Instance)>,
+pub struct HashRing {
+    points: Vec<(u64, Instance)>,
 }
 
-impl Ring {
+impl HashRing {
     /// Makes the ring of the members of a view that run and stay.
     ///
     /// A member that cannot be reached stays on it until its watcher calls it
     /// silent: whoever is cut off from it goes on by itself meanwhile.
     pub fn new(view: &View) -> Self {
-        let stays = |state| state < MemberState::Leaving;
-        let mut places: Vec<(u64, Instance)> = view
+        let is_staying = |state| state < MemberState::Leaving;
+        let mut points: Vec<(u64, Instance)> = view
             .members()
-            .filter(|member| stays(member.state))
-            .flat_map(|member| places(member.instance))
+            .filter(|member| is_staying(member.state))
+            .flat_map(|member| member_points(member.instance))
             .collect();
-        places.sort_unstable();
-        Self { places }
+        points.sort_unstable();
+        Self { points }
     }
 
     /// Returns the member that coordinates a workspace.
     pub fn coordinator(&self, workspace: &WorkspaceName) -> Option<Instance> {
         let hash = xxh3_64(workspace.as_str().as_bytes());
-        let next = self.places.partition_point(|(place, _)| *place < hash);
-        let found = self.places.get(next).or_else(|| self.places.first());
+        let next = self.points.partition_point(|(point, _)| *point < hash);
+        let found = self.points.get(next).or_else(|| self.points.first());
         found.map(|(_, instance)| *instance)
     }
 
     /// Returns the number of members.
     pub fn len(&self) -> usize {
-        self.places.len() / PLACES as usize
+        self.points.len() / POINTS_PER_MEMBER as usize
     }
 
     /// Tells whether there is no member.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.points.is_empty()
     }
 }
 
 /// A run that takes the place of another at its address has the same places.
-fn places(instance: Instance) -> impl Iterator<Item = (u64, Instance)> {
+fn member_points(instance: Instance) -> impl Iterator<Item = (u64, Instance)> {
     let address = instance.address.to_string();
-    (0..PLACES).map(move |place| (xxh3_64_with_seed(address.as_bytes(), place), instance))
+    (0..POINTS_PER_MEMBER)
+        .map(move |point| (xxh3_64_with_seed(address.as_bytes(), point), instance))
 }
--- a/src/policy/rate/terms.rs
+++ b/src/policy/rate/tolerance.rs
@@ -58,11 +58,11 @@
 /// that asks. The rest is kept for what is counted late: credit that a lost
 /// coordinator had out, and what daemons take by themselves when cut off.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RateTolerance {
     /// The time over which requests are counted; any span of that length.
     pub window: Duration,
     /// Requests beyond the limit, as a share of it.
-    pub over: f64,
+    pub excess: f64,
     /// Requests beyond that, in one window.
     pub slack: f64,
     /// How the daemons share a rate.
@@ -71,39 +71,39 @@
 
 /// The parts of what is tolerated that go into the rate, and into the credit
 /// that may lie ready.
-const RATE_PART: f64 = 0.1;
-const READY_PART: f64 = 0.15;
+const RATE_FRACTION: f64 = 0.1;
+const CAPACITY_FRACTION: f64 = 0.15;
 /// The part of the slack that a bucket begins with which knows nothing.
-const INITIAL_PART: f64 = 0.25;
+const INITIAL_FRACTION: f64 = 0.25;
 
-impl Default for Terms {
+impl Default for RateTolerance {
     /// Nothing is tolerated but ten requests of slack.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
-            over: 0.0,
+            excess: 0.0,
             slack: 10.0,
             sharing: Sharing::Lent,
         }
     }
 }
 
-impl Terms {
+impl RateTolerance {
     /// Returns the credit a second of a limit.
     pub(super) fn rate(&self, limit: Limit) -> f64 {
-        limit.rate.get() * (1.0 + self.over * RATE_PART)
+        limit.rate.get() * (1.0 + self.excess * RATE_FRACTION)
     }
 
     /// Returns the most credit that may lie ready for a limit.
     pub(super) fn capacity(&self, limit: Limit) -> f64 {
-        let burst = f64::from(limit.burst) * (1.0 + self.over);
+        let burst = f64::from(limit.burst) * (1.0 + self.excess);
         let in_window = limit.rate.get() * self.window.as_secs_f64();
-        burst + READY_PART * (in_window * self.over + self.slack)
+        burst + CAPACITY_FRACTION * (in_window * self.excess + self.slack)
     }
 
     /// Returns the credit of a bucket that knows nothing of what was there
     /// before it, such as after its daemon's start.
-    pub(super) fn initial(&self) -> f64 {
-        (self.slack * INITIAL_PART).max(1.0)
+    pub(super) fn initial_credit(&self) -> f64 {
+        (self.slack * INITIAL_FRACTION).max(1.0)
     }
 }
--- a/src/policy/retry/account.rs
+++ b/src/policy/retry/account.rs
@@ -6,13 +6,13 @@
 
 /// Names a loan within one account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LoanId(u64);
+pub struct GrantId(u64);
 
 /// Retries that travel with one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Loan {
+pub struct RetryGrant {
     /// The name under which the rest comes home.
-    pub id: LoanId,
+    pub id: GrantId,
     /// How many retries the attempt may use in its own tree.
     pub retries: Retries,
 }
@@ -24,21 +24,21 @@
 /// tree never passes what the first account was opened with, whatever is
 /// lost, repeated or made at the same time.
 #[derive(Debug)]
-pub struct Account {
+pub struct RetryAccount {
     left: u32,
-    loans: BTreeMap<LoanId, u32>,
-    next: u64,
-    spent: u32,
+    grants: BTreeMap<GrantId, u32>,
+    next_id: u64,
+    used: u32,
 }
 
-impl Account {
+impl RetryAccount {
     /// Opens an account.
-    pub fn open(retries: Retries) -> Self {
+    pub fn new(retries: Retries) -> Self {
         Self {
             left: retries.get(),
-            loans: BTreeMap::new(),
-            next: 0,
-            spent: 0,
+            grants: BTreeMap::new(),
+            next_id: 0,
+            used: 0,
         }
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Returns how many retries were spent here.
-    pub fn spent(&self) -> Retries {
-        Retries::new(self.spent)
+    pub fn used(&self) -> Retries {
+        Retries::new(self.used)
     }
 
     /// Spends one retry, if there is one.
@@ -58,7 +58,7 @@
             return false;
         }
         self.left -= 1;
-        self.spent += 1;
+        self.used += 1;
         true
     }
 
@@ -68,7 +68,7 @@
     /// What stays is for the case that the attempt is lost together with its
     /// loan, and for attempts that are made at the same time. The rest goes
     /// down, since a failure is cheapest to retry where it is met.
-    pub fn lend(&mut self) -> Loan {
+    pub fn grant(&mut self) -> RetryGrant {
         let share = match self.left {
             0 => 0,
             1 => 1,
@@ -76,32 +76,32 @@
             left => left - left / 4,
         };
         self.left -= share;
-        let id = LoanId(self.next);
-        self.next += 1;
-        self.loans.insert(id, share);
-        Loan {
+        let id = GrantId(self.next_id);
+        self.next_id += 1;
+        self.grants.insert(id, share);
+        RetryGrant {
             id,
             retries: Retries::new(share),
         }
     }
 
     /// Takes home what an attempt did not use; a repeat changes nothing.
-    pub fn settle(&mut self, id: LoanId, rest: Retries) {
-        if let Some(lent) = self.loans.remove(&id) {
-            self.left += rest.get().min(lent);
+    pub fn reclaim(&mut self, id: GrantId, unused: Retries) {
+        if let Some(granted) = self.grants.remove(&id) {
+            self.left += unused.get().min(granted);
         }
     }
 
     /// Gives up a loan whose attempt was lost; what it lent stays spent.
-    pub fn write_off(&mut self, id: LoanId) {
-        self.loans.remove(&id);
+    pub fn discard(&mut self, id: GrantId) {
+        self.grants.remove(&id);
     }
 
     /// Closes the account and returns what goes home to the one above.
     ///
     /// Loans that are still out are not part of it.
     pub fn close(&mut self) -> Retries {
-        self.loans.clear();
+        self.grants.clear();
         Retries::new(std::mem::take(&mut self.left))
     }
 }
--- a/src/policy/retry/allowance.rs
+++ b/src/policy/retry/allowance.rs
@@ -5,26 +5,26 @@
 
 use tokio::time::Instant;
 
-use super::window::Window;
+use super::window::EventWindow;
 use crate::model::{Level, RootId};
 
 /// Part of the estate's allowance that retries use by themselves. The rest is
 /// for the calls that are made by calls that were themselves retried.
-const OWN_PART: f64 = 0.75;
+const DIRECT_FRACTION: f64 = 0.75;
 /// Time over which retries that were not used can be saved up.
-const SAVED: Duration = Duration::from_millis(500);
+const BURST_TIME: Duration = Duration::from_millis(500);
 /// Fewest retries that can be saved up; a daemon that sends few calls could
 /// otherwise never retry one.
-const MIN_SAVED: f64 = 1.5;
+const MIN_BURST_RETRIES: f64 = 1.5;
 /// Time in which the open part of the levels shrinks by e when no retries are
 /// left. Trees of calls last about a second; daemons whose levels moved much
 /// faster would choose other trees each time.
-const TURN: Duration = Duration::from_millis(300);
+const LEVEL_ADJUST_TIME: Duration = Duration::from_millis(300);
 /// Fewest levels that stay open: one tree in thirty of the most urgent class.
-const MIN_OPEN: f64 = (Level::STEPS / 32) as f64;
+const MIN_OPEN_LEVELS: f64 = (Level::STEPS / 32) as f64;
 /// How long a tree that got a retry is remembered; the users' requests last up
 /// to six seconds.
-const REMEMBERED: Duration = Duration::from_secs(6);
+const TREE_MEMORY_TIME: Duration = Duration::from_secs(6);
 /// Most trees that are remembered.
 const MAX_TREES: usize = 4096;
 
@@ -57,11 +57,11 @@
 #[derive(Debug)]
 pub struct Allowance {
     settings: AllowanceSettings,
-    asked: Window,
+    call_window: EventWindow,
     tokens: f64,
-    filled: Option<Instant>,
+    last_refill: Option<Instant>,
     /// How many levels get retries, counted from the highest.
-    open: f64,
+    open_levels: f64,
     trees: HashMap<RootId, Instant>,
 }
 
@@ -70,56 +70,56 @@
     pub fn new(settings: AllowanceSettings) -> Self {
         Self {
             settings,
-            asked: Window::new(settings.window),
+            call_window: EventWindow::new(settings.window),
             tokens: 0.0,
-            filled: None,
-            open: Level::COUNT as f64,
+            last_refill: None,
+            open_levels: Level::COUNT as f64,
             trees: HashMap::new(),
         }
     }
 
     /// Takes note of a call that is made for the first time.
-    pub fn asked(&mut self, now: Instant) {
-        self.asked.add(now);
-        self.fill(now);
+    pub fn record_call(&mut self, now: Instant) {
+        self.call_window.add(now);
+        self.refill(now);
     }
 
     /// Takes one retry out for a call of `level` in the tree of `root`, if
     /// there is one for it.
-    pub fn take(&mut self, now: Instant, level: Level, root: RootId) -> bool {
-        self.fill(now);
-        let below = (Level::COUNT - level.index()) as f64;
-        let known = self.trees.contains_key(&root);
-        if !known && below > self.open {
+    pub fn try_take(&mut self, now: Instant, level: Level, root: RootId) -> bool {
+        self.refill(now);
+        let needed_levels = (Level::COUNT - level.index()) as f64;
+        let is_admitted = self.trees.contains_key(&root);
+        if !is_admitted && needed_levels > self.open_levels {
             return false;
         }
         if self.tokens < 1.0 {
             // What is open has no use below the levels that ask.
-            self.open = self.open.min(below.max(MIN_OPEN));
+            self.open_levels = self.open_levels.min(needed_levels.max(MIN_OPEN_LEVELS));
             return false;
         }
         self.tokens -= 1.0;
-        self.remember(now, root);
+        self.record_tree(now, root);
         true
     }
 
     /// Adds what the time since the last filling allows, and opens or closes
     /// levels as much or little is saved up.
-    fn fill(&mut self, now: Instant) {
-        let rate = self.asked.rate(now) * self.settings.share * OWN_PART;
-        let since = self.filled.replace(now).unwrap_or(now);
+    fn refill(&mut self, now: Instant) {
+        let rate = self.call_window.rate(now) * self.settings.share * DIRECT_FRACTION;
+        let since = self.last_refill.replace(now).unwrap_or(now);
         let age = now.saturating_duration_since(since).as_secs_f64();
-        let most = (rate * SAVED.as_secs_f64()).max(MIN_SAVED);
-        self.tokens = (self.tokens + rate * age).min(most);
-        let lean = self.tokens / most * 2.0 - 1.0;
-        let turned = self.open * (lean * age / TURN.as_secs_f64()).exp();
-        self.open = turned.clamp(MIN_OPEN, Level::COUNT as f64);
+        let capacity = (rate * BURST_TIME.as_secs_f64()).max(MIN_BURST_RETRIES);
+        self.tokens = (self.tokens + rate * age).min(capacity);
+        let balance = self.tokens / capacity * 2.0 - 1.0;
+        let adjusted = self.open_levels * (balance * age / LEVEL_ADJUST_TIME.as_secs_f64()).exp();
+        self.open_levels = adjusted.clamp(MIN_OPEN_LEVELS, Level::COUNT as f64);
     }
 
-    fn remember(&mut self, now: Instant, root: RootId) {
+    fn record_tree(&mut self, now: Instant, root: RootId) {
         if self.trees.len() >= MAX_TREES {
             self.trees
-                .retain(|_, at| now.saturating_duration_since(*at) < REMEMBERED);
+                .retain(|_, at| now.saturating_duration_since(*at) < TREE_MEMORY_TIME);
         }
         if self.trees.len() < MAX_TREES {
             self.trees.insert(root, now);
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -8,9 +8,9 @@
 mod repeat;
 mod window;
 
-pub use account::{Account, Loan, LoanId};
+pub use account::{GrantId, RetryAccount, RetryGrant};
 pub use allowance::{Allowance, AllowanceSettings};
 pub use budget::RetryBudget;
-pub use decide::{Failure, Retry, Safety, decide};
-pub use ratio::Ratio;
-pub use repeat::Repeats;
+pub use decide::{FailedAttempt, RepeatSafety, RetryDecision, decide_retry};
+pub use ratio::RetryRatio;
+pub use repeat::RepeatDetector;
--- a/src/policy/retry/ratio.rs
+++ b/src/policy/retry/ratio.rs
@@ -1,39 +1,39 @@
 //! Retries of one service as a share of its answered calls.
 
 /// What one retry costs, in tenths of a retry.
-const COST: u32 = 10;
+const RETRY_COST: u32 = 10;
 /// What one call that is answered earns, in tenths of a retry: when few calls
 /// are answered, few are retried.
-const EARNED: u32 = 1;
+const ANSWER_CREDIT: u32 = 1;
 /// Most that can be saved up, which is there at first: ten retries.
-const SAVED: u32 = 100;
+const MAX_TENTHS: u32 = 100;
 
 /// A token bucket that answered calls fill and retries empty.
 ///
 /// It keeps retries from sustaining an overload.
 #[derive(Clone, Copy, Debug)]
-pub struct Ratio {
-    left: u32,
+pub struct RetryRatio {
+    tenths: u32,
 }
 
-impl Default for Ratio {
+impl Default for RetryRatio {
     fn default() -> Self {
-        Self { left: SAVED }
+        Self { tenths: MAX_TENTHS }
     }
 }
 
-impl Ratio {
+impl RetryRatio {
     /// Takes note of a call that was answered.
-    pub fn answered(&mut self) {
-        self.left = (self.left + EARNED).min(SAVED);
+    pub fn record_answer(&mut self) {
+        self.tenths = (self.tenths + ANSWER_CREDIT).min(MAX_TENTHS);
     }
 
     /// Takes one retry out, if there is one.
-    pub fn take(&mut self) -> bool {
-        if self.left < COST {
+    pub fn try_take(&mut self) -> bool {
+        if self.tenths < RETRY_COST {
             return false;
         }
-        self.left -= COST;
+        self.tenths -= RETRY_COST;
         true
     }
 }
--- a/src/policy/retry/window.rs
+++ b/src/policy/retry/window.rs
@@ -5,58 +5,58 @@
 use tokio::time::Instant;
 
 /// Parts of a window that are counted apart; one leaves the count at a time.
-const PARTS: usize = 20;
+const PART_COUNT: usize = 20;
 /// Shortest time that a rate is taken over, so that a few calls at the start
 /// do not look like many a second.
-const MIN_TIME: Duration = Duration::from_secs(1);
+const MIN_RATE_TIME: Duration = Duration::from_secs(1);
 
 /// Counts events of the last window.
 #[derive(Clone, Debug)]
-pub(super) struct Window {
-    part: Duration,
-    first: Option<Instant>,
-    newest: u64,
-    counts: [u32; PARTS],
+pub(super) struct EventWindow {
+    part_length: Duration,
+    first_event: Option<Instant>,
+    newest_part: u64,
+    counts: [u32; PART_COUNT],
 }
 
-impl Window {
+impl EventWindow {
     pub(super) fn new(length: Duration) -> Self {
         Self {
-            part: (length / PARTS as u32).max(Duration::from_millis(1)),
-            first: None,
-            newest: 0,
-            counts: [0; PARTS],
+            part_length: (length / PART_COUNT as u32).max(Duration::from_millis(1)),
+            first_event: None,
+            newest_part: 0,
+            counts: [0; PART_COUNT],
         }
     }
 
     /// Counts one event.
     pub(super) fn add(&mut self, now: Instant) {
-        let first = *self.first.get_or_insert(now);
+        let first = *self.first_event.get_or_insert(now);
         self.advance(first, now);
-        self.counts[self.newest as usize % PARTS] += 1;
+        self.counts[self.newest_part as usize % PART_COUNT] += 1;
     }
 
     /// Returns the mean rate over the window, or over the time since the first
     /// event if that is shorter, in events a second.
     pub(super) fn rate(&mut self, now: Instant) -> f64 {
-        let Some(first) = self.first else {
+        let Some(first) = self.first_event else {
             return 0.0;
         };
         self.advance(first, now);
         let sum: u32 = self.counts.iter().sum();
-        let length = self.part * PARTS as u32;
+        let length = self.part_length * PART_COUNT as u32;
         let time = now.saturating_duration_since(first).min(length);
-        f64::from(sum) / time.max(MIN_TIME).as_secs_f64()
+        f64::from(sum) / time.max(MIN_RATE_TIME).as_secs_f64()
     }
 
     fn advance(&mut self, first: Instant, now: Instant) {
         let age = now.saturating_duration_since(first).as_nanos();
-        let place = u64::try_from(age / self.part.as_nanos()).unwrap_or(u64::MAX);
-        let past = place.saturating_sub(self.newest);
-        for step in 1..=past.min(PARTS as u64) {
-            self.counts[(self.newest + step) as usize % PARTS] = 0;
+        let part = u64::try_from(age / self.part_length.as_nanos()).unwrap_or(u64::MAX);
+        let passed_parts = part.saturating_sub(self.newest_part);
+        for step in 1..=passed_parts.min(PART_COUNT as u64) {
+            self.counts[(self.newest_part + step) as usize % PART_COUNT] = 0;
         }
         // Parts that were passed over whole hold nothing.
-        self.newest = self.newest.max(place);
+        self.newest_part = self.newest_part.max(part);
     }
 }
--- a/src/tables/calls.rs
+++ b/src/tables/calls.rs
@@ -10,7 +10,7 @@
     CallId, CallerName, ClassName, Depth, OnceKey, Priority, Retries, RootId, WorkspaceId,
 };
 use crate::policy::admission::Met;
-use crate::policy::retry::Account;
+use crate::policy::retry::RetryAccount;
 
 /// What onward calls of a held call need to know of it.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     /// The key of the call, if it must run at most once.
     pub once: Option<OnceKey>,
     /// The retries of the call and all below it.
-    pub account: Mutex<Account>,
+    pub account: Mutex<RetryAccount>,
     met: Mutex<Vec<Met>>,
 }
 
@@ -48,7 +48,7 @@
             depth: head.depth,
             deadline: head.deadline,
             once: head.once.as_ref().map(|once| once.key.clone()),
-            account: Mutex::new(Account::open(head.account)),
+            account: Mutex::new(RetryAccount::new(head.account)),
             met: Mutex::default(),
         }
     }
--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -13,7 +13,10 @@
 use crate::declare::Limit;
 use crate::model::WorkspaceName;
 use crate::policy::member::{Change, View};
-use crate::policy::rate::{Asked, Bucket, Lent, Ring, Sharing, Stock, Taken, Terms};
+use crate::policy::rate::{
+    CreditBucket, CreditDecision, CreditGrant, CreditQuery, HashRing, LocalCredit, RateTolerance,
+    Sharing,
+};
 
 /// How often idle entries are looked for, by questions for credit.
 const SWEEP: u64 = 4096;
@@ -21,7 +24,7 @@
 /// The credit of one workspace at this daemon.
 #[derive(Debug)]
 pub struct Credit {
-    stock: Mutex<Stock>,
+    stock: Mutex<LocalCredit>,
     asking: AtomicBool,
     /// Wakes requests that wait for the coordinator's answer.
     pub told: Notify,
@@ -44,17 +47,17 @@
 #[derive(Debug)]
 struct Known {
     change: Option<Change>,
-    ring: Arc<Ring>,
+    ring: Arc<HashRing>,
     since: Instant,
 }
 
 /// The credit of all limited workspaces.
 #[derive(Debug)]
 pub struct Rates {
-    terms: Terms,
+    terms: RateTolerance,
     known: Mutex<Known>,
     stocks: Mutex<HashMap<WorkspaceName, Arc<Credit>>>,
-    buckets: Mutex<HashMap<WorkspaceName, Bucket>>,
+    buckets: Mutex<HashMap<WorkspaceName, CreditBucket>>,
     lent: AtomicU64,
     /// Wakes the task that tells coordinators of the demand.
     pub begun: Notify,
@@ -62,7 +65,7 @@
 
 impl Rates {
     /// Makes empty tables under what an estate tolerates.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: RateTolerance) -> Self {
         Self {
             terms,
             known: Mutex::new(Known {
@@ -78,11 +81,11 @@
     }
 
     /// Returns the ring of the members of a view.
-    pub fn ring(&self, view: &View) -> Arc<Ring> {
+    pub fn ring(&self, view: &View) -> Arc<HashRing> {
         let mut known = self.known.lock();
         if known.change != Some(view.change()) {
             known.change = Some(view.change());
-            let ring = Ring::new(view);
+            let ring = HashRing::new(view);
             if ring != *known.ring {
                 known.ring = Arc::new(ring);
                 known.since = Instant::now();
@@ -106,13 +109,13 @@
     }
 
     /// Takes the credit of one request out.
-    pub fn take(&self, credit: &Credit, limit: Limit, members: usize) -> Taken {
+    pub fn take(&self, credit: &Credit, limit: Limit, members: usize) -> CreditDecision {
         let mut stock = credit.stock.lock();
         let taken = stock.take(Instant::now(), &self.terms, limit, members);
         match taken {
-            Taken::Yes => credit.taken.fetch_add(1, Ordering::Relaxed),
-            Taken::No(_) => credit.refused.fetch_add(1, Ordering::Relaxed),
-            Taken::Ask => 0,
+            CreditDecision::Admit => credit.taken.fetch_add(1, Ordering::Relaxed),
+            CreditDecision::Refuse(_) => credit.refused.fetch_add(1, Ordering::Relaxed),
+            CreditDecision::AskCoordinator => 0,
         };
         taken
     }
@@ -120,14 +123,14 @@
     /// Returns what to ask the coordinator for, if it is time to and nobody
     /// asks already; whoever gets this calls [`Credit::asked`] in the end. A
     /// request that `waits` depends on the answer.
-    pub fn begin_asking(&self, credit: &Credit, waits: bool) -> Option<Asked> {
+    pub fn begin_asking(&self, credit: &Credit, waits: bool) -> Option<CreditQuery> {
         if self.terms.sharing == Sharing::Equal {
             return None;
         }
         if credit.asking.swap(true, Ordering::AcqRel) {
             return None;
         }
-        let asked = credit.stock.lock().asks(Instant::now(), waits);
+        let asked = credit.stock.lock().next_query(Instant::now(), waits);
         match asked {
             Some(_) => self.begun.notify_one(),
             None => credit.asked(),
@@ -138,19 +141,21 @@
     /// Tells whether requests of a workspace arrived here lately.
     pub fn is_active(&self) -> bool {
         let stocks = self.stocks.lock();
-        stocks.values().any(|credit| credit.stock.lock().is_told())
+        stocks
+            .values()
+            .any(|credit| credit.stock.lock().is_registered())
     }
 
     /// Returns what is to be told to coordinators now; whoever gets this calls
     /// [`Credit::asked`] on each in the end.
-    pub fn begin_telling(&self) -> Vec<(WorkspaceName, Arc<Credit>, Asked)> {
+    pub fn begin_telling(&self) -> Vec<(WorkspaceName, Arc<Credit>, CreditQuery)> {
         let now = Instant::now();
         let stocks = self.stocks.lock();
         let told = stocks.iter().filter_map(|(name, credit)| {
             if credit.asking.swap(true, Ordering::AcqRel) {
                 return None;
             }
-            let asked = credit.stock.lock().tells(now);
+            let asked = credit.stock.lock().next_report(now);
             if asked.is_none() {
                 credit.asked();
             }
@@ -162,7 +167,7 @@
     /// Takes note that the coordinator did not answer.
     pub fn unanswered(&self, credit: &Credit, members: usize) {
         let mut stock = credit.stock.lock();
-        stock.unanswered(Instant::now(), &self.terms, members, &mut rand::rng());
+        stock.record_no_answer(Instant::now(), &self.terms, members, &mut rand::rng());
     }
 
     /// Lends credit of a workspace that this daemon coordinates.
@@ -171,8 +176,8 @@
         workspace: &WorkspaceName,
         limit: Limit,
         from: SocketAddr,
-        asked: Asked,
-    ) -> Lent {
+        asked: CreditQuery,
+    ) -> CreditGrant {
         let now = Instant::now();
         let mut buckets = self.buckets.lock();
         if self
@@ -184,11 +189,11 @@
         }
         if !buckets.contains_key(workspace) {
             let since = self.known.lock().since;
-            buckets.insert(workspace.clone(), Bucket::new(since, &self.terms));
+            buckets.insert(workspace.clone(), CreditBucket::new(since, &self.terms));
         }
         match buckets.get_mut(workspace) {
-            Some(bucket) => bucket.lend(now, &self.terms, limit, from, asked),
-            None => Lent::default(),
+            Some(bucket) => bucket.grant(now, &self.terms, limit, from, asked),
+            None => CreditGrant::default(),
         }
     }
 
@@ -213,7 +218,7 @@
 impl Credit {
     fn new() -> Self {
         Self {
-            stock: Mutex::new(Stock::new(Instant::now())),
+            stock: Mutex::new(LocalCredit::new(Instant::now())),
             asking: AtomicBool::new(false),
             told: Notify::new(),
             taken: AtomicU64::new(0),
@@ -223,17 +228,17 @@
 
     /// Takes note of a request that arrives.
     pub fn arrived(&self) {
-        self.stock.lock().arrived(Instant::now());
+        self.stock.lock().record_arrival(Instant::now());
     }
 
     /// Gives back the credit of a request that no backend server got.
     pub fn give_back(&self) {
-        self.stock.lock().give_back(Instant::now());
+        self.stock.lock().refund(Instant::now());
     }
 
     /// Takes the coordinator's answer.
-    pub fn lent(&self, lent: Lent) {
-        self.stock.lock().lent(Instant::now(), lent);
+    pub fn lent(&self, lent: CreditGrant) {
+        self.stock.lock().apply_grant(Instant::now(), lent);
     }
 
     /// Ends the asking and wakes those who wait.
--- a/src/tables/routes.rs
+++ b/src/tables/routes.rs
@@ -40,7 +40,9 @@
             Some(table) => Arc::clone(table),
             None => {
                 let retries = match self.allowed {
-                    Some(settings) => RetryBudget::Allowed(Box::new(Allowance::new(settings))),
+                    Some(settings) => {
+                        RetryBudget::WindowAllowance(Box::new(Allowance::new(settings)))
+                    }
                     None => RetryBudget::default(),
                 };
                 let table = Table::with_retries(self.own.clone(), retries);
--- a/src/tables/shared.rs
+++ b/src/tables/shared.rs
@@ -17,7 +17,7 @@
 use crate::model::{CrashId, Fingerprint, Instance, MintTime, Version, WorkspaceName};
 use crate::policy::crash::Suspect;
 use crate::policy::member::{Duty, DutyTerm, View};
-use crate::policy::rate::{Asked, Lent, Ring};
+use crate::policy::rate::{CreditGrant, CreditQuery, HashRing};
 use crate::store::{Platform, Revision};
 
 /// The tables that entry, guard, peers and operators' interface share.
@@ -98,14 +98,19 @@
     }
 
     /// Returns the ring of members by which workspaces are coordinated.
-    pub fn ring(&self) -> Arc<Ring> {
+    pub fn ring(&self) -> Arc<HashRing> {
         let view = self.view.lock();
         self.rates.ring(&view)
     }
 
     /// Lends credit of a workspace to the daemon at `from`; nothing where no
     /// limit of it is known.
-    pub fn lend(&self, workspace: &WorkspaceName, from: SocketAddr, asked: Asked) -> Option<Lent> {
+    pub fn lend(
+        &self,
+        workspace: &WorkspaceName,
+        from: SocketAddr,
+        asked: CreditQuery,
+    ) -> Option<CreditGrant> {
         let in_force = self.current.get()?;
         let workspaces = in_force.estate.workspaces.as_ref()?;
         let limit = workspaces.get(workspace)?.limit?;
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::model::{CrashId, Fingerprint};
-use crate::policy::crash::{self, Standing, Suspect};
+use crate::policy::crash::{self, RunRestriction, Suspect};
 use crate::policy::member::Change;
 
 /// Crashes of the own server, and requests told of, that are remembered.
@@ -32,16 +32,16 @@
 
     /// Looks whether a suspect of which something new is known is to be kept.
     fn look(&mut self, suspect: &Suspect) {
-        if suspect.strikes.iter().any(|s| self.own.contains(&s.crash)) {
+        if suspect.records.iter().any(|s| self.own.contains(&s.crash)) {
             self.keep(suspect);
         }
     }
 
     fn keep(&mut self, suspect: &Suspect) {
-        if !suspect.is_grave() || self.told.contains(&suspect.asked) {
+        if !suspect.is_likely_cause() || self.told.contains(&suspect.digest) {
             return;
         }
-        remember(&mut self.told, suspect.asked);
+        remember(&mut self.told, suspect.digest);
         self.waiting.push(suspect.clone());
     }
 }
@@ -62,18 +62,20 @@
 
 impl Suspects {
     /// Returns what may be done with a request.
-    pub fn standing(&self, request: Fingerprint) -> Standing {
+    pub fn standing(&self, request: Fingerprint) -> RunRestriction {
         let known = self.known.lock();
         if known.is_empty() {
-            return Standing::Clear;
+            return RunRestriction::Unrestricted;
         }
-        known.standing(Instant::now(), request)
+        known.restriction(Instant::now(), request)
     }
 
     /// Takes note that a request was under way at a crash; returns whether
     /// that is new.
     pub fn crashed(&self, request: Fingerprint, crash: CrashId) -> bool {
-        self.change(request, |known, now| known.crashed(now, request, crash))
+        self.change(request, |known, now| {
+            known.record_crash(now, request, crash)
+        })
     }
 
     /// Takes note that a request was under way at a crash of the own server;
@@ -93,7 +95,7 @@
     /// lost: those that are held for crashes of the own server, or `all`.
     pub fn keep_again(&self, all: bool) {
         let known = self.known.lock();
-        let (suspects, _) = known.changed(Instant::now(), Change::default());
+        let (suspects, _) = known.changes_since(Instant::now(), Change::default());
         let mut grave = self.grave.lock();
         grave.told.clear();
         for suspect in &suspects {
@@ -121,7 +123,7 @@
         if self.known.lock().is_empty() {
             return false;
         }
-        self.change(request, |known, now| known.answered(now, request))
+        self.change(request, |known, now| known.record_answer(now, request))
     }
 
     /// Takes what another daemon knows; returns whether that is more than was
@@ -133,7 +135,7 @@
         for suspect in news {
             if known.merge(now, suspect) {
                 more = true;
-                self.look(known.get(now, suspect.asked));
+                self.look(known.get(now, suspect.digest));
             }
         }
         more
@@ -147,12 +149,12 @@
 
     /// Returns what changed after `since`, and the count of changes.
     pub fn changed(&self, since: Change) -> (Vec<Suspect>, Change) {
-        self.known.lock().changed(Instant::now(), since)
+        self.known.lock().changes_since(Instant::now(), since)
     }
 
     /// Forgets what is over.
     pub fn forget(&self) {
-        self.known.lock().forget(Instant::now());
+        self.known.lock().remove_expired(Instant::now());
     }
 
     fn look(&self, suspect: Option<&Suspect>) {
@@ -170,23 +172,26 @@
     ) -> bool {
         let now = Instant::now();
         let mut known = self.known.lock();
-        let before = known.standing(now, request);
+        let before = known.restriction(now, request);
         let new = change(&mut known, now);
-        let after = known.standing(now, request);
+        let after = known.restriction(now, request);
         let suspect = known.get(now, request.asked);
-        let crashes = suspect.map_or(0, Suspect::crashes);
+        let crashes = suspect.map_or(0, Suspect::crash_count);
         if new {
             self.look(suspect);
         }
         drop(known);
-        if let (Standing::Held(left), false) = (after, matches!(before, Standing::Held(_))) {
+        if let (RunRestriction::Quarantined(left), false) =
+            (after, matches!(before, RunRestriction::Quarantined(_)))
+        {
             spdlog::warn!("request held, since it crashes servers", kv: {
                 asks = request.to_string().as_str(),
                 crashes,
                 held_s = left.as_secs()
             });
         }
-        if matches!(before, Standing::Held(_)) && after == Standing::Clear {
+        if matches!(before, RunRestriction::Quarantined(_)) && after == RunRestriction::Unrestricted
+        {
             spdlog::info!("request no longer held", kv: { asks = request.to_string().as_str() });
         }
         new
--- a/src/task/rates.rs
+++ b/src/task/rates.rs
@@ -5,7 +5,7 @@
 
 use crate::model::WorkspaceName;
 use crate::peer::{Pool, borrow};
-use crate::policy::rate::Asked;
+use crate::policy::rate::CreditQuery;
 use crate::tables::{Credit, Shared};
 
 /// How often it is looked for what to tell. A coordinator that hears nothing
@@ -19,7 +19,7 @@
     pool: Arc<Pool>,
     name: WorkspaceName,
     credit: Arc<Credit>,
-    asked: Asked,
+    asked: CreditQuery,
 ) {
     match borrow(&shared, &pool, &name, asked).await {
         Some(lent) => credit.lent(lent),
--- a/src/task/suspects.rs
+++ b/src/task/suspects.rs
@@ -15,7 +15,7 @@
 
 use super::duty::on_duty;
 use crate::model::CrashId;
-use crate::policy::crash::{Strike, Suspect};
+use crate::policy::crash::{CrashRecord, Suspect};
 use crate::policy::member::Budget;
 use crate::store::{Condition, Row, Settled, settle};
 use crate::tables::{Shared, unix_ms};
@@ -46,28 +46,28 @@
 
 impl Content {
     fn of(suspect: &Suspect, now: Instant) -> Self {
-        let age = now.saturating_duration_since(suspect.latest);
-        let strike = |strike: &Strike| StrikeRow {
+        let age = now.saturating_duration_since(suspect.last_crash);
+        let strike = |strike: &CrashRecord| StrikeRow {
             crash: strike.crash.get(),
             caller: strike.caller,
         };
         Self {
-            strikes: suspect.strikes.iter().map(strike).collect(),
+            strikes: suspect.records.iter().map(strike).collect(),
             unix_ms: unix_ms().saturating_sub(u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
         }
     }
 
     fn suspect(&self, asked: u128, now: Instant) -> Suspect {
         let age = Duration::from_millis(unix_ms().saturating_sub(self.unix_ms));
-        let strike = |row: &StrikeRow| Strike {
+        let strike = |row: &StrikeRow| CrashRecord {
             crash: CrashId::new(row.crash),
             caller: row.caller,
         };
         Suspect {
-            asked,
-            strikes: self.strikes.iter().map(strike).collect(),
-            answered: BTreeSet::new(),
-            latest: now.checked_sub(age).unwrap_or(now),
+            digest: asked,
+            records: self.strikes.iter().map(strike).collect(),
+            answered_callers: BTreeSet::new(),
+            last_crash: now.checked_sub(age).unwrap_or(now),
         }
     }
 }
@@ -122,7 +122,7 @@
     let mut known = Vec::new();
     for row in &rows {
         match suspect_of(row, now) {
-            Some(suspect) if suspect.is_over(now) => remove(shared, row).await,
+            Some(suspect) if suspect.is_expired(now) => remove(shared, row).await,
             Some(suspect) => known.push(suspect),
             None => spdlog::warn!("row of a held request not understood", kv: { key = &*row.key }),
         }
@@ -154,7 +154,7 @@
         }
         let written = write_row(shared, &suspect).await;
         note(budget, written);
-        if !written && !suspect.is_over(Instant::now()) {
+        if !written && !suspect.is_expired(Instant::now()) {
             shared.suspects.put_back(suspect);
         }
     }
@@ -163,7 +163,7 @@
 /// Writes one row; returns whether it stands. One that another daemon has
 /// written is enough.
 async fn write_row(shared: &Shared, suspect: &Suspect) -> bool {
-    let key = format!("{PREFIX}{:032x}", suspect.asked);
+    let key = format!("{PREFIX}{:032x}", suspect.digest);
     let content = Content::of(suspect, Instant::now());
     let content = serde_json::to_vec(&content).unwrap_or_default();
     let table = shared.platform.as_ref();
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -17,8 +17,8 @@
 
 /// Calls and retries of all daemons, by step.
 struct Counts {
-    asked: Vec<u32>,
-    repeats: Vec<u32>,
+    calls: Vec<u32>,
+    retries: Vec<u32>,
 }
 
 impl Counts {
@@ -31,32 +31,32 @@
         let start = Instant::now();
         let steps = rates.len() * WINDOW;
         let mut counts = Self {
-            asked: vec![0; steps],
-            repeats: vec![0; steps],
+            calls: vec![0; steps],
+            retries: vec![0; steps],
         };
-        let mut due = 0.0;
-        let mut turn = 0;
+        let mut due_calls = 0.0;
+        let mut call_count = 0;
         for step in 0..steps {
             let now = start + STEP * step as u32;
-            due += rates[step / WINDOW] / STEPS_A_SECOND as f64;
-            while due >= 1.0 {
-                due -= 1.0;
-                turn += 1;
-                counts.asked[step] += 1;
-                all[turn % daemons].asked(now);
+            due_calls += rates[step / WINDOW] / STEPS_A_SECOND as f64;
+            while due_calls >= 1.0 {
+                due_calls -= 1.0;
+                call_count += 1;
+                counts.calls[step] += 1;
+                all[call_count % daemons].record_call(now);
             }
             for allowance in &mut all {
-                while allowance.take(now, Level::OPEN, RootId::random()) {
-                    counts.repeats[step] += 1;
+                while allowance.try_take(now, Level::OPEN, RootId::random()) {
+                    counts.retries[step] += 1;
                 }
             }
         }
         counts
     }
 
-    fn asked(&self, end: usize) -> u32 {
-        let end = end.min(self.asked.len());
-        self.asked[end.saturating_sub(WINDOW)..end].iter().sum()
+    fn calls_before(&self, end: usize) -> u32 {
+        let end = end.min(self.calls.len());
+        self.calls[end.saturating_sub(WINDOW)..end].iter().sum()
     }
 }
 
@@ -70,12 +70,16 @@
 #[case::load_comes_and_goes(13, &[100.0, 1500.0, 100.0], 47.0)]
 fn take_stays_within_any_window(#[case] daemons: usize, #[case] rates: &[f64], #[case] slack: f64) {
     let counts = Counts::play(daemons, rates);
-    for end in WINDOW..=counts.asked.len() {
-        let repeats: u32 = counts.repeats[end - WINDOW..end].iter().sum();
-        let asked = [0, WINDOW / 2, WINDOW].map(|back| counts.asked(end.saturating_sub(back)));
-        let asked = asked.into_iter().max().unwrap_or(0);
-        let most = f64::from(asked) * 0.2 + slack;
-        assert!(f64::from(repeats) <= most, "{repeats} of {most} at {end}");
+    for end in WINDOW..=counts.calls.len() {
+        let retries: u32 = counts.retries[end - WINDOW..end].iter().sum();
+        let calls =
+            [0, WINDOW / 2, WINDOW].map(|back| counts.calls_before(end.saturating_sub(back)));
+        let calls = calls.into_iter().max().unwrap_or(0);
+        let max_retries = f64::from(calls) * 0.2 + slack;
+        assert!(
+            f64::from(retries) <= max_retries,
+            "{retries} of {max_retries} at {end}"
+        );
     }
 }
 
@@ -83,11 +87,11 @@
     root: RootId,
     level: Level,
     urgent: bool,
-    left: u32,
-    next: usize,
+    calls_left: u32,
+    next_step: usize,
 }
 
-struct Passed {
+struct PassedTrees {
     urgent: u32,
     other: u32,
 }
@@ -95,12 +99,12 @@
 /// Plays trees of calls to a service that refuses 55 of 100 calls by itself:
 /// 54 urgent ones a second of eight calls, 110 others of four, one after the
 /// other, 55 ms each.
-fn refusing_service(seed: u64, seconds: usize) -> Passed {
+fn refusing_service(seed: u64, seconds: usize) -> PassedTrees {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut allowance = Allowance::new(AllowanceSettings::default());
     let start = Instant::now();
     let mut trees: Vec<Tree> = Vec::new();
-    let mut passed = Passed {
+    let mut passed = PassedTrees {
         urgent: 0,
         other: 0,
     };
@@ -118,31 +122,31 @@
                     root,
                     level,
                     urgent,
-                    left: if urgent { 8 } else { 4 },
-                    next: step,
+                    calls_left: if urgent { 8 } else { 4 },
+                    next_step: step,
                 });
             }
         }
         trees.retain_mut(|tree| {
-            if tree.next > step {
+            if tree.next_step > step {
                 return true;
             }
-            allowance.asked(now);
+            allowance.record_call(now);
             for _ in 0..9 {
                 let refused = refusing && rng.random_bool(0.55);
                 if !refused {
-                    tree.left -= 1;
-                    tree.next = step + 5;
-                    if tree.left == 0 && refusing {
+                    tree.calls_left -= 1;
+                    tree.next_step = step + 5;
+                    if tree.calls_left == 0 && refusing {
                         *(if tree.urgent {
                             &mut passed.urgent
                         } else {
                             &mut passed.other
                         }) += 1;
                     }
-                    return tree.left > 0;
+                    return tree.calls_left > 0;
                 }
-                if !allowance.take(now, tree.level, tree.root) {
+                if !allowance.try_take(now, tree.level, tree.root) {
                     return false;
                 }
             }
@@ -161,8 +165,8 @@
 #[test]
 fn take_lets_whole_trees_pass() {
     const PLAYS: u64 = 20;
-    let plays: Vec<Passed> = (0..PLAYS).map(|seed| refusing_service(seed, 8)).collect();
-    let mean = |count: fn(&Passed) -> u32| {
+    let plays: Vec<PassedTrees> = (0..PLAYS).map(|seed| refusing_service(seed, 8)).collect();
+    let mean = |count: fn(&PassedTrees) -> u32| {
         let sum: u32 = plays.iter().map(count).sum();
         f64::from(sum) / PLAYS as f64
     };
@@ -183,9 +187,9 @@
     for step in 0..2 * WINDOW as u32 {
         let now = start + STEP * step;
         for _ in 0..5 {
-            allowance.asked(now);
+            allowance.record_call(now);
             let refused = rng.random_bool(0.08);
-            denied += u32::from(refused && !allowance.take(now, Level::OPEN, RootId::random()));
+            denied += u32::from(refused && !allowance.try_take(now, Level::OPEN, RootId::random()));
         }
     }
     assert!(denied < 100, "{denied} of 800 retries denied");
--- a/tests/metrics_page.rs
+++ b/tests/metrics_page.rs
@@ -98,7 +98,7 @@
     assert_eq!(hosting.repeats.share, 0.25);
     assert_eq!(hosting.repeats.window, Duration::from_millis(7500));
     assert_eq!(hosting.rates.window, Duration::from_secs(5));
-    assert_eq!((hosting.rates.over, hosting.rates.slack), (0.1, 20.0));
+    assert_eq!((hosting.rates.excess, hosting.rates.slack), (0.1, 20.0));
     assert_eq!(config.grace.get(), Duration::from_secs(6));
 }
 
--- a/tests/rates/main.rs
+++ b/tests/rates/main.rs
@@ -18,22 +18,22 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn within(world: &World) {
+fn assert_within_bound(world: &World) {
     assert!(
-        world.worst as f64 <= world.bound(),
+        world.worst_window as f64 <= world.bound(),
         "{} in a window, {} allowed",
-        world.worst,
+        world.worst_window,
         world.bound()
     );
 }
 
 /// All daemons take their part of a large workspace.
-fn spread(load: f64, daemons: usize) -> impl Fn(usize) -> f64 {
+fn on_all_daemons(load: f64, daemons: usize) -> impl Fn(usize) -> f64 {
     move |_| load / daemons as f64
 }
 
 /// The callers of a small workspace sit on three VMs.
-fn few(load: f64) -> impl Fn(usize) -> f64 {
+fn on_three_daemons(load: f64) -> impl Fn(usize) -> f64 {
     move |place| if place < 3 { load / 3.0 } else { 0.0 }
 }
 
@@ -46,41 +46,41 @@
     #[case] rate: f64,
     #[case] burst: u32,
     #[case] load: f64,
-    #[case] sits_on_few: bool,
+    #[case] is_on_few: bool,
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut world = World::new(88, limit(rate, burst), Sharing::Lent, seed);
-    let play = |world: &mut World, time| match sits_on_few {
-        true => world.play(time, few(load)),
-        false => world.play(time, spread(load, 88)),
+    let play = |world: &mut World, time| match is_on_few {
+        true => world.run_for(time, on_three_daemons(load)),
+        false => world.run_for(time, on_all_daemons(load, 88)),
     };
     play(&mut world, 2 * SECOND);
-    world.take_refused();
+    world.take_refused_share();
     play(&mut world, 20 * SECOND);
-    let refused = world.take_refused();
+    let refused = world.take_refused_share();
     assert!(refused <= 0.01, "{refused} refused");
-    within(&world);
+    assert_within_bound(&world);
 }
 
 #[rstest]
-#[case::spread(false)]
+#[case::on_all_daemons(false)]
 #[case::on_few(true)]
 fn load_above_the_rate_is_held(#[case] on_few: bool, #[values(1, 2, 3)] seed: u64) {
     let mut world = World::new(88, limit(82.0, 82), Sharing::Lent, seed);
-    world.play(5 * SECOND, spread(51.0, 88));
-    world.take_refused();
+    world.run_for(5 * SECOND, on_all_daemons(51.0, 88));
+    world.take_refused_share();
     match on_few {
-        true => world.play(10 * SECOND, few(385.0)),
-        false => world.play(10 * SECOND, spread(385.0, 88)),
+        true => world.run_for(10 * SECOND, on_three_daemons(385.0)),
+        false => world.run_for(10 * SECOND, on_all_daemons(385.0, 88)),
     }
-    within(&world);
+    assert_within_bound(&world);
     // Nine tenths of the rate are used: 82 of 385 a second.
-    let taken = 1.0 - world.take_refused();
+    let taken = 1.0 - world.take_refused_share();
     assert!(taken >= 0.9 * 82.0 / 385.0, "{taken} taken");
-    world.play(2 * SECOND, spread(51.0, 88));
-    world.take_refused();
-    world.play(10 * SECOND, spread(51.0, 88));
-    let refused = world.take_refused();
+    world.run_for(2 * SECOND, on_all_daemons(51.0, 88));
+    world.take_refused_share();
+    world.run_for(10 * SECOND, on_all_daemons(51.0, 88));
+    let refused = world.take_refused_share();
     assert!(refused <= 0.01, "{refused} refused after the surge");
 }
 
@@ -89,12 +89,12 @@
 fn load_that_moves_passes(#[values(1, 2, 3)] seed: u64) {
     let mut world = World::new(88, limit(82.0, 82), Sharing::Lent, seed);
     let half = |first: bool| move |place: usize| f64::from(u8::from((place < 44) == first)) * 1.1;
-    world.play(5 * SECOND, half(true));
-    world.take_refused();
-    world.play(5 * SECOND, half(false));
-    let refused = world.take_refused();
+    world.run_for(5 * SECOND, half(true));
+    world.take_refused_share();
+    world.run_for(5 * SECOND, half(false));
+    let refused = world.take_refused_share();
     assert!(refused <= 0.02, "{refused} refused");
-    within(&world);
+    assert_within_bound(&world);
 }
 
 /// A data centre is cut off from the coordinator for as long as a window and
@@ -108,29 +108,29 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut world = World::new(88, limit(82.0, 82), Sharing::Lent, seed);
-    world.play(5 * SECOND, spread(load, 88));
-    world.take_refused();
-    world.cut(0..29, true);
-    world.play(6 * SECOND, spread(load, 88));
-    let refused = world.take_refused();
+    world.run_for(5 * SECOND, on_all_daemons(load, 88));
+    world.take_refused_share();
+    world.cut_off(0..29, true);
+    world.run_for(6 * SECOND, on_all_daemons(load, 88));
+    let refused = world.take_refused_share();
     assert!(refused <= most_refused, "{refused} refused while cut off");
-    world.cut(0..29, false);
-    world.play(6 * SECOND, spread(load, 88));
-    within(&world);
+    world.cut_off(0..29, false);
+    world.run_for(6 * SECOND, on_all_daemons(load, 88));
+    assert_within_bound(&world);
 }
 
 #[rstest]
 fn coordinator_is_lost_and_all_daemons_with_it(#[values(1, 2, 3)] seed: u64) {
     let mut world = World::new(88, limit(82.0, 82), Sharing::Lent, seed);
-    world.play(5 * SECOND, spread(385.0, 88));
+    world.run_for(5 * SECOND, on_all_daemons(385.0, 88));
     world.lose_coordinator();
-    world.play(SECOND, spread(385.0, 88));
+    world.run_for(SECOND, on_all_daemons(385.0, 88));
     for daemon in 0..88 {
         world.restart(daemon);
     }
     world.lose_coordinator();
-    world.play(6 * SECOND, spread(385.0, 88));
-    within(&world);
+    world.run_for(6 * SECOND, on_all_daemons(385.0, 88));
+    assert_within_bound(&world);
 }
 
 /// What the other way of sharing would do: equal parts refuse a workspace whose
@@ -138,10 +138,10 @@
 #[test]
 fn equal_parts_refuse_callers_on_few_daemons() {
     let mut world = World::new(88, limit(82.0, 82), Sharing::Equal, 1);
-    world.play(2 * SECOND, few(51.0));
-    world.take_refused();
-    world.play(10 * SECOND, few(51.0));
-    let refused = world.take_refused();
+    world.run_for(2 * SECOND, on_three_daemons(51.0));
+    world.take_refused_share();
+    world.run_for(10 * SECOND, on_three_daemons(51.0));
+    let refused = world.take_refused_share();
     assert!(refused >= 0.5, "{refused} refused");
 }
 
@@ -188,24 +188,24 @@
             match event {
                 Event::Load(load) => all = f64::from(*load),
                 Event::Few(load) => on_few = f64::from(*load),
-                Event::Cut(from, to) => world.cut(*from..*to, true),
-                Event::Heal => world.cut(0..88, false),
+                Event::Cut(from, to) => world.cut_off(*from..*to, true),
+                Event::Heal => world.cut_off(0..88, false),
                 Event::Restart(daemon) => world.restart(*daemon),
                 Event::Coordinator => {
-                    world.cut(0..88, false);
-                    world.loss = 0.0;
-                    world.play(Duration::from_secs(2), |_| all / 88.0);
+                    world.cut_off(0..88, false);
+                    world.loss_rate = 0.0;
+                    world.run_for(Duration::from_secs(2), |_| all / 88.0);
                     world.lose_coordinator();
-                    world.play(Duration::from_secs(2), |_| all / 88.0);
+                    world.run_for(Duration::from_secs(2), |_| all / 88.0);
                 }
-                Event::Loss(percent) => world.loss = f64::from(*percent) / 100.0,
+                Event::Loss(percent) => world.loss_rate = f64::from(*percent) / 100.0,
             }
             let time = Duration::from_millis(*millis);
-            world.play(time, |place| all / 88.0 + if place < 3 { on_few / 3.0 } else { 0.0 });
+            world.run_for(time, |place| all / 88.0 + if place < 3 { on_few / 3.0 } else { 0.0 });
         }
         prop_assert!(
-            world.worst as f64 <= world.bound(),
-            "{} in a window, {} allowed", world.worst, world.bound()
+            world.worst_window as f64 <= world.bound(),
+            "{} in a window, {} allowed", world.worst_window, world.bound()
         );
     }
 }
--- a/tests/rates/world.rs
+++ b/tests/rates/world.rs
@@ -6,7 +6,9 @@
 
 use bramleymount::declare::Limit;
 use bramleymount::model::Rate;
-use bramleymount::policy::rate::{Asked, Bucket, Lent, Sharing, Stock, Taken, Terms};
+use bramleymount::policy::rate::{
+    CreditBucket, CreditDecision, CreditGrant, CreditQuery, LocalCredit, RateTolerance, Sharing,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -16,15 +18,15 @@
 /// The time over which requests are counted.
 pub(crate) const WINDOW: Duration = Duration::from_secs(5);
 /// How often daemons look for what to tell.
-const TELL: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a question may take.
-const TIMEOUT: Duration = Duration::from_millis(200);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What the users' estate tolerates.
-pub(crate) fn terms(sharing: Sharing) -> Terms {
-    Terms {
+pub(crate) fn tolerance(sharing: Sharing) -> RateTolerance {
+    RateTolerance {
         window: WINDOW,
-        over: 0.1,
+        excess: 0.1,
         slack: 20.0,
         sharing,
     }
@@ -38,220 +40,231 @@
 }
 
 /// A question under way.
-struct Flight {
+struct QueryInFlight {
     daemon: usize,
-    asked: Asked,
-    arrives: Duration,
+    query: CreditQuery,
+    arrival: Duration,
     lost: bool,
 }
 
 /// An answer under way.
-struct Back {
+struct ReplyInFlight {
     daemon: usize,
-    lent: Option<Lent>,
-    arrives: Duration,
+    grant: Option<CreditGrant>,
+    arrival: Duration,
 }
 
 struct Daemon {
-    stock: Stock,
+    local_credit: LocalCredit,
     asking: bool,
     waiting: u32,
-    cut: bool,
+    is_cut_off: bool,
 }
 
 /// The emulated estate.
 pub(crate) struct World {
     pub(crate) limit: Limit,
-    pub(crate) terms: Terms,
+    pub(crate) tolerance: RateTolerance,
     daemons: Vec<Daemon>,
-    bucket: Bucket,
-    flights: Vec<Flight>,
-    backs: Vec<Back>,
-    pub(crate) loss: f64,
+    bucket: CreditBucket,
+    queries: Vec<QueryInFlight>,
+    replies: Vec<ReplyInFlight>,
+    pub(crate) loss_rate: f64,
     start: Instant,
     now: Duration,
     rng: StdRng,
     admitted: VecDeque<Duration>,
-    pub(crate) worst: usize,
-    pub(crate) taken: u64,
-    pub(crate) refused: u64,
-    pub(crate) questions: u64,
+    pub(crate) worst_window: usize,
+    pub(crate) admitted_count: u64,
+    pub(crate) refused_count: u64,
+    pub(crate) query_count: u64,
 }
 
 impl World {
     pub(crate) fn new(daemons: usize, limit: Limit, sharing: Sharing, seed: u64) -> Self {
         let start = Instant::now();
-        let terms = terms(sharing);
+        let tolerance = tolerance(sharing);
         let daemon = |_| Daemon {
-            stock: Stock::new(start),
+            local_credit: LocalCredit::new(start),
             asking: false,
             waiting: 0,
-            cut: false,
+            is_cut_off: false,
         };
         Self {
             limit,
-            terms,
+            tolerance,
             daemons: (0..daemons).map(daemon).collect(),
-            bucket: Bucket::new(start, &terms),
-            flights: Vec::new(),
-            backs: Vec::new(),
-            loss: 0.0,
+            bucket: CreditBucket::new(start, &tolerance),
+            queries: Vec::new(),
+            replies: Vec::new(),
+            loss_rate: 0.0,
             start,
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(seed),
             admitted: VecDeque::new(),
-            worst: 0,
-            taken: 0,
-            refused: 0,
-            questions: 0,
+            worst_window: 0,
+            admitted_count: 0,
+            refused_count: 0,
+            query_count: 0,
         }
     }
 
     /// Most requests that may be taken in a window.
     pub(crate) fn bound(&self) -> f64 {
         let allowed = self.limit.rate.get() * WINDOW.as_secs_f64() + f64::from(self.limit.burst);
-        allowed * (1.0 + self.terms.over) + self.terms.slack
+        allowed * (1.0 + self.tolerance.excess) + self.tolerance.slack
     }
 
-    pub(crate) fn cut(&mut self, daemons: std::ops::Range<usize>, cut: bool) {
+    pub(crate) fn cut_off(&mut self, daemons: std::ops::Range<usize>, is_cut_off: bool) {
         for daemon in &mut self.daemons[daemons] {
-            daemon.cut = cut;
+            daemon.is_cut_off = is_cut_off;
         }
     }
 
     /// Starts a daemon anew, which forgets what it knew.
     pub(crate) fn restart(&mut self, daemon: usize) {
-        self.daemons[daemon].stock = Stock::new(self.start + self.now);
+        self.daemons[daemon].local_credit = LocalCredit::new(self.start + self.now);
         self.daemons[daemon].asking = false;
         self.daemons[daemon].waiting = 0;
-        self.flights.retain(|flight| flight.daemon != daemon);
-        self.backs.retain(|back| back.daemon != daemon);
+        self.queries.retain(|query| query.daemon != daemon);
+        self.replies.retain(|reply| reply.daemon != daemon);
     }
 
     /// Loses the coordinator; another begins without what it knew.
     pub(crate) fn lose_coordinator(&mut self) {
-        self.bucket = Bucket::new(self.start + self.now, &self.terms);
+        self.bucket = CreditBucket::new(self.start + self.now, &self.tolerance);
     }
 
     /// Plays for `time`, in which `rates` requests a second arrive at each
     /// daemon.
-    pub(crate) fn play(&mut self, time: Duration, rates: impl Fn(usize) -> f64) {
+    pub(crate) fn run_for(&mut self, time: Duration, rates: impl Fn(usize) -> f64) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            for place in 0..self.daemons.len() {
-                let mean = rates(place) * STEP.as_secs_f64();
-                let whole = mean.floor() as u32;
-                let more = u32::from(self.rng.random_bool(mean - f64::from(whole)));
-                for _ in 0..whole + more {
-                    self.arrive(place);
+            for index in 0..self.daemons.len() {
+                let mean = rates(index) * STEP.as_secs_f64();
+                let minimum = mean.floor() as u32;
+                let extra = u32::from(self.rng.random_bool(mean - f64::from(minimum)));
+                for _ in 0..minimum + extra {
+                    self.arrive(index);
                 }
             }
             self.deliver();
-            if self.now.as_millis().is_multiple_of(TELL.as_millis()) {
-                (0..self.daemons.len()).for_each(|place| self.tell(place));
+            if self
+                .now
+                .as_millis()
+                .is_multiple_of(REPORT_INTERVAL.as_millis())
+            {
+                (0..self.daemons.len()).for_each(|index| self.report(index));
             }
         }
     }
 
-    fn tell(&mut self, place: usize) {
+    fn report(&mut self, index: usize) {
         let now = self.start + self.now;
-        let daemon = &mut self.daemons[place];
-        if daemon.asking || self.terms.sharing == Sharing::Equal {
+        let daemon = &mut self.daemons[index];
+        if daemon.asking || self.tolerance.sharing == Sharing::Equal {
             return;
         }
-        if let Some(asked) = daemon.stock.tells(now) {
-            self.send(place, asked);
+        if let Some(query) = daemon.local_credit.next_report(now) {
+            self.send(index, query);
         }
     }
 
-    fn arrive(&mut self, place: usize) {
+    fn arrive(&mut self, index: usize) {
         let now = self.start + self.now;
-        self.daemons[place].stock.arrived(now);
-        self.take(place);
+        self.daemons[index].local_credit.record_arrival(now);
+        self.take(index);
     }
 
-    fn take(&mut self, place: usize) {
+    fn take(&mut self, index: usize) {
         let now = self.start + self.now;
         let members = self.daemons.len();
-        let daemon = &mut self.daemons[place];
-        match daemon.stock.take(now, &self.terms, self.limit, members) {
-            Taken::Yes => self.admit(),
-            Taken::No(_) => self.refused += 1,
-            Taken::Ask => daemon.waiting += 1,
+        let daemon = &mut self.daemons[index];
+        match daemon
+            .local_credit
+            .take(now, &self.tolerance, self.limit, members)
+        {
+            CreditDecision::Admit => self.admit(),
+            CreditDecision::Refuse(_) => self.refused_count += 1,
+            CreditDecision::AskCoordinator => daemon.waiting += 1,
         }
-        self.ask(place);
+        self.ask(index);
     }
 
-    fn ask(&mut self, place: usize) {
+    fn ask(&mut self, index: usize) {
         let now = self.start + self.now;
-        let daemon = &mut self.daemons[place];
-        if daemon.asking || self.terms.sharing == Sharing::Equal {
+        let daemon = &mut self.daemons[index];
+        if daemon.asking || self.tolerance.sharing == Sharing::Equal {
             return;
         }
-        if let Some(asked) = daemon.stock.asks(now, daemon.waiting > 0) {
-            self.send(place, asked);
+        if let Some(query) = daemon.local_credit.next_query(now, daemon.waiting > 0) {
+            self.send(index, query);
         }
     }
 
-    fn send(&mut self, place: usize, asked: Asked) {
-        let daemon = &mut self.daemons[place];
+    fn send(&mut self, index: usize, query: CreditQuery) {
+        let daemon = &mut self.daemons[index];
         daemon.asking = true;
-        self.questions += 1;
-        let lost = daemon.cut || self.rng.random_bool(self.loss);
-        let way = Duration::from_millis(self.rng.random_range(1..6));
-        self.flights.push(Flight {
-            daemon: place,
-            asked,
-            arrives: self.now + if lost { TIMEOUT } else { way },
+        self.query_count += 1;
+        let lost = daemon.is_cut_off || self.rng.random_bool(self.loss_rate);
+        let delay = Duration::from_millis(self.rng.random_range(1..6));
+        self.queries.push(QueryInFlight {
+            daemon: index,
+            query,
+            arrival: self.now + if lost { QUERY_TIMEOUT } else { delay },
             lost,
         });
     }
 
     fn deliver(&mut self) {
         let now = self.start + self.now;
-        let due = |at: Duration| at <= self.now;
-        let (arrived, rest) = std::mem::take(&mut self.flights)
+        let is_due = |at: Duration| at <= self.now;
+        let (arrived, rest) = std::mem::take(&mut self.queries)
             .into_iter()
-            .partition::<Vec<_>, _>(|flight| due(flight.arrives));
-        self.flights = rest;
-        for flight in arrived {
-            let address = SocketAddr::from(([10, 0, 0, 1], flight.daemon as u16 + 1));
-            let lent = (!flight.lost).then(|| {
-                let (terms, limit) = (&self.terms, self.limit);
-                self.bucket.lend(now, terms, limit, address, flight.asked)
+            .partition::<Vec<_>, _>(|query| is_due(query.arrival));
+        self.queries = rest;
+        for query in arrived {
+            let address = SocketAddr::from(([10, 0, 0, 1], query.daemon as u16 + 1));
+            let grant = (!query.lost).then(|| {
+                let (tolerance, limit) = (&self.tolerance, self.limit);
+                self.bucket
+                    .grant(now, tolerance, limit, address, query.query)
             });
             // An answer may be lost too; its credit is gone.
-            let lost = flight.lost || self.rng.random_bool(self.loss);
-            let way = Duration::from_millis(self.rng.random_range(1..6));
-            self.backs.push(Back {
-                daemon: flight.daemon,
-                lent: lent.filter(|_| !lost),
-                arrives: self.now + if flight.lost { Duration::ZERO } else { way },
+            let lost = query.lost || self.rng.random_bool(self.loss_rate);
+            let delay = Duration::from_millis(self.rng.random_range(1..6));
+            self.replies.push(ReplyInFlight {
+                daemon: query.daemon,
+                grant: grant.filter(|_| !lost),
+                arrival: self.now + if query.lost { Duration::ZERO } else { delay },
             });
         }
-        let (arrived, rest) = std::mem::take(&mut self.backs)
+        let (arrived, rest) = std::mem::take(&mut self.replies)
             .into_iter()
-            .partition::<Vec<_>, _>(|back| back.arrives <= self.now);
-        self.backs = rest;
-        for back in arrived {
+            .partition::<Vec<_>, _>(|reply| reply.arrival <= self.now);
+        self.replies = rest;
+        for reply in arrived {
             let members = self.daemons.len();
-            let daemon = &mut self.daemons[back.daemon];
+            let daemon = &mut self.daemons[reply.daemon];
             daemon.asking = false;
-            match back.lent {
-                Some(lent) => daemon.stock.lent(now, lent),
-                None => daemon
-                    .stock
-                    .unanswered(now, &self.terms, members, &mut self.rng),
+            match reply.grant {
+                Some(grant) => daemon.local_credit.apply_grant(now, grant),
+                None => daemon.local_credit.record_no_answer(
+                    now,
+                    &self.tolerance,
+                    members,
+                    &mut self.rng,
+                ),
             }
             for _ in 0..std::mem::take(&mut daemon.waiting) {
-                self.take(back.daemon);
+                self.take(reply.daemon);
             }
         }
     }
 
     fn admit(&mut self) {
-        self.taken += 1;
+        self.admitted_count += 1;
         self.admitted.push_back(self.now);
         while self
             .admitted
@@ -260,15 +273,15 @@
         {
             self.admitted.pop_front();
         }
-        self.worst = self.worst.max(self.admitted.len());
+        self.worst_window = self.worst_window.max(self.admitted.len());
     }
 
     /// Returns the share of requests refused since the last question.
-    pub(crate) fn take_refused(&mut self) -> f64 {
-        let (taken, refused) = (
-            std::mem::take(&mut self.taken),
-            std::mem::take(&mut self.refused),
+    pub(crate) fn take_refused_share(&mut self) -> f64 {
+        let (admitted_count, refused_count) = (
+            std::mem::take(&mut self.admitted_count),
+            std::mem::take(&mut self.refused_count),
         );
-        refused as f64 / (taken + refused).max(1) as f64
+        refused_count as f64 / (admitted_count + refused_count).max(1) as f64
     }
 }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -10,25 +10,25 @@
 use std::time::Duration;
 
 use bramleymount::model::{CrashId, Fingerprint};
-use bramleymount::policy::crash::{Standing, Suspect, Suspects};
+use bramleymount::policy::crash::{RunRestriction, Suspect, Suspects};
 use bramleymount::policy::member::Change;
 use proptest::prelude::*;
 use rstest::rstest;
 use tokio::time::Instant;
 
-const DEADLY: u128 = 1;
+const CRASHING: u128 = 1;
 const OTHER: u128 = 2;
-const TILL: u64 = 7;
-const DESK: u64 = 8;
+const CALLER_A: u64 = 7;
+const CALLER_B: u64 = 8;
 
 fn request(asked: u128) -> Fingerprint {
     Fingerprint {
         asked,
-        caller: TILL,
+        caller: CALLER_A,
     }
 }
 
-fn by(asked: u128, caller: u64) -> Fingerprint {
+fn request_by(asked: u128, caller: u64) -> Fingerprint {
     Fingerprint { asked, caller }
 }
 
@@ -41,45 +41,54 @@
 }
 
 /// Notes that all of `asked` were under way at a crash.
-fn crash_under(suspects: &mut Suspects, now: Instant, number: u64, asked: &[u128]) {
+fn record_crashes(suspects: &mut Suspects, now: Instant, number: u64, asked: &[u128]) {
     for asked in asked {
-        suspects.crashed(now, request(*asked), crash(number));
+        suspects.record_crash(now, request(*asked), crash(number));
     }
 }
 
 #[rstest]
-#[case::none(0, Standing::Clear)]
-#[case::one(1, Standing::Few)]
-#[case::two(2, Standing::Alone)]
-#[case::three(3, Standing::Held(secs(600)))]
-#[case::four(4, Standing::Held(secs(600)))]
-fn standing_by_crashes(#[case] crashes: u64, #[case] standing: Standing) {
+#[case::none(0, RunRestriction::Unrestricted)]
+#[case::one(1, RunRestriction::FewAtOnce)]
+#[case::two(2, RunRestriction::OneAtOnce)]
+#[case::three(3, RunRestriction::Quarantined(secs(600)))]
+#[case::four(4, RunRestriction::Quarantined(secs(600)))]
+fn standing_by_crashes(#[case] crashes: u64, #[case] restriction: RunRestriction) {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..crashes {
-        crash_under(&mut suspects, now, number, &[DEADLY]);
+        record_crashes(&mut suspects, now, number, &[CRASHING]);
     }
-    assert_eq!(suspects.standing(now, request(DEADLY)), standing);
-    assert_eq!(suspects.standing(now, request(OTHER)), Standing::Clear);
+    assert_eq!(suspects.restriction(now, request(CRASHING)), restriction);
+    assert_eq!(
+        suspects.restriction(now, request(OTHER)),
+        RunRestriction::Unrestricted
+    );
 }
 
 #[test]
 fn crashed_twice_by_one_crash_counts_once() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for _ in 0..5 {
-        crash_under(&mut suspects, now, 1, &[DEADLY]);
+        record_crashes(&mut suspects, now, 1, &[CRASHING]);
     }
-    assert_eq!(suspects.standing(now, request(DEADLY)), Standing::Few);
+    assert_eq!(
+        suspects.restriction(now, request(CRASHING)),
+        RunRestriction::FewAtOnce
+    );
 }
 
 #[test]
 fn answered_request_is_clear_and_stays_so() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
-    crash_under(&mut suspects, now, 1, &[OTHER]);
-    crash_under(&mut suspects, now, 2, &[OTHER]);
-    assert!(suspects.answered(now, request(OTHER)));
+    record_crashes(&mut suspects, now, 1, &[OTHER]);
+    record_crashes(&mut suspects, now, 2, &[OTHER]);
+    assert!(suspects.record_answer(now, request(OTHER)));
     for number in 3..9 {
-        crash_under(&mut suspects, now, number, &[OTHER]);
-        assert_eq!(suspects.standing(now, request(OTHER)), Standing::Clear);
+        record_crashes(&mut suspects, now, number, &[OTHER]);
+        assert_eq!(
+            suspects.restriction(now, request(OTHER)),
+            RunRestriction::Unrestricted
+        );
     }
 }
 
@@ -87,61 +96,88 @@
 fn request_beside_the_deadly_one_each_time_runs_alone_until_it_is_answered() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        crash_under(&mut suspects, now, number, &[DEADLY, OTHER]);
+        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
     }
-    assert_eq!(suspects.standing(now, request(DEADLY)), Standing::Alone);
-    assert_eq!(suspects.standing(now, request(OTHER)), Standing::Alone);
-    suspects.answered(now, request(OTHER));
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, request(DEADLY)), held);
-    assert_eq!(suspects.standing(now, request(OTHER)), Standing::Clear);
+    assert_eq!(
+        suspects.restriction(now, request(CRASHING)),
+        RunRestriction::OneAtOnce
+    );
+    assert_eq!(
+        suspects.restriction(now, request(OTHER)),
+        RunRestriction::OneAtOnce
+    );
+    suspects.record_answer(now, request(OTHER));
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(
+        suspects.restriction(now, request(OTHER)),
+        RunRestriction::Unrestricted
+    );
 }
 
 #[test]
 fn request_that_crashes_one_more_server_alone_is_the_cause() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        crash_under(&mut suspects, now, number, &[DEADLY, OTHER]);
+        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
     }
-    crash_under(&mut suspects, now, 4, &[DEADLY]);
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, request(DEADLY)), held);
-    assert_eq!(suspects.standing(now, request(OTHER)), Standing::Alone);
+    record_crashes(&mut suspects, now, 4, &[CRASHING]);
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(
+        suspects.restriction(now, request(OTHER)),
+        RunRestriction::OneAtOnce
+    );
 }
 
 #[test]
 fn request_that_is_at_all_crashes_with_another_is_held_in_the_end() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=6 {
-        crash_under(&mut suspects, now, number, &[DEADLY, OTHER]);
+        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
     }
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, request(DEADLY)), held);
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
 }
 
 #[test]
 fn deadly_request_from_anywhere_is_held_for_all() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for (number, caller) in [(1, 10), (2, 11), (3, 12)] {
-        suspects.crashed(now, by(DEADLY, caller), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, caller), crash(number));
     }
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, by(DEADLY, 13)), held);
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, 13)),
+        quarantined
+    );
 }
 
 #[test]
 fn deadly_request_of_one_caller_is_held_for_that_one() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.crashed(now, by(DEADLY, TILL), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
     }
-    suspects.crashed(now, by(DEADLY, DESK), crash(2));
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, by(DEADLY, TILL)), held);
-    assert_eq!(suspects.standing(now, by(DEADLY, DESK)), Standing::Alone);
-    suspects.answered(now, by(DEADLY, DESK));
-    assert_eq!(suspects.standing(now, by(DEADLY, DESK)), Standing::Clear);
-    assert_eq!(suspects.standing(now, by(DEADLY, TILL)), held);
+    suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(2));
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        quarantined
+    );
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        RunRestriction::OneAtOnce
+    );
+    suspects.record_answer(now, request_by(CRASHING, CALLER_B));
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        RunRestriction::Unrestricted
+    );
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        quarantined
+    );
 }
 
 /// Two callers whose requests for the same are under way at all crashes, of which
@@ -151,15 +187,27 @@
 fn deadly_request_of_one_of_two_callers_is_held_for_that_one() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.crashed(now, by(DEADLY, TILL), crash(number));
-        suspects.crashed(now, by(DEADLY, DESK), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(number));
     }
-    assert_eq!(suspects.standing(now, by(DEADLY, TILL)), Standing::Alone);
-    assert_eq!(suspects.standing(now, by(DEADLY, DESK)), Standing::Alone);
-    suspects.crashed(now, by(DEADLY, TILL), crash(4));
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(now, by(DEADLY, TILL)), held);
-    assert_eq!(suspects.standing(now, by(DEADLY, DESK)), Standing::Alone);
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        RunRestriction::OneAtOnce
+    );
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        RunRestriction::OneAtOnce
+    );
+    suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(4));
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        quarantined
+    );
+    assert_eq!(
+        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        RunRestriction::OneAtOnce
+    );
 }
 
 /// The same where the request of either ends servers.
@@ -167,59 +215,68 @@
 fn deadly_request_of_two_callers_is_held_for_all_once_both_ran_alone() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.crashed(now, by(DEADLY, TILL), crash(number));
-        suspects.crashed(now, by(DEADLY, DESK), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
+        suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(number));
     }
-    suspects.crashed(now, by(DEADLY, TILL), crash(4));
-    suspects.crashed(now, by(DEADLY, DESK), crash(5));
-    let held = Standing::Held(secs(600));
-    for caller in [TILL, DESK, 9] {
-        assert_eq!(suspects.standing(now, by(DEADLY, caller)), held);
+    suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(4));
+    suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(5));
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    for caller in [CALLER_A, CALLER_B, 9] {
+        assert_eq!(
+            suspects.restriction(now, request_by(CRASHING, caller)),
+            quarantined
+        );
     }
 }
 
 #[rstest]
-#[case::suspect_kept(1, 59, Standing::Few)]
-#[case::suspect_forgotten(1, 60, Standing::Clear)]
-#[case::held_kept(3, 599, Standing::Held(secs(1)))]
-#[case::held_gets_one_run(3, 600, Standing::Alone)]
-#[case::held_forgotten(3, 1200, Standing::Clear)]
-fn standing_expires(#[case] crashes: u64, #[case] after: u64, #[case] standing: Standing) {
+#[case::suspect_kept(1, 59, RunRestriction::FewAtOnce)]
+#[case::suspect_forgotten(1, 60, RunRestriction::Unrestricted)]
+#[case::held_kept(3, 599, RunRestriction::Quarantined(secs(1)))]
+#[case::held_gets_one_run(3, 600, RunRestriction::OneAtOnce)]
+#[case::held_forgotten(3, 1200, RunRestriction::Unrestricted)]
+fn standing_expires(#[case] crashes: u64, #[case] after: u64, #[case] restriction: RunRestriction) {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..crashes {
-        crash_under(&mut suspects, now, number, &[DEADLY]);
+        record_crashes(&mut suspects, now, number, &[CRASHING]);
     }
     let later = now + secs(after);
-    assert_eq!(suspects.standing(later, request(DEADLY)), standing);
-    suspects.forget(later);
-    assert_eq!(suspects.is_empty(), standing == Standing::Clear);
+    assert_eq!(suspects.restriction(later, request(CRASHING)), restriction);
+    suspects.remove_expired(later);
+    assert_eq!(
+        suspects.is_empty(),
+        restriction == RunRestriction::Unrestricted
+    );
 }
 
 #[test]
 fn held_request_that_crashes_again_after_its_time_is_held_again() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..3 {
-        crash_under(&mut suspects, now, number, &[DEADLY]);
+        record_crashes(&mut suspects, now, number, &[CRASHING]);
     }
     let later = now + secs(700);
-    crash_under(&mut suspects, later, 4, &[DEADLY]);
-    let held = Standing::Held(secs(600));
-    assert_eq!(suspects.standing(later, request(DEADLY)), held);
+    record_crashes(&mut suspects, later, 4, &[CRASHING]);
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(suspects.restriction(later, request(CRASHING)), quarantined);
 }
 
 #[test]
 fn suspects_are_bounded_and_the_gravest_stay() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..3 {
-        crash_under(&mut suspects, now, number, &[DEADLY]);
+        record_crashes(&mut suspects, now, number, &[CRASHING]);
     }
     for asked in 0..10_000 {
         let later = now + Duration::from_millis(1);
-        suspects.crashed(later, request(1000 + asked), crash(99));
+        suspects.record_crash(later, request(1000 + asked), crash(99));
     }
     assert_eq!(suspects.len(), 2048);
-    let standing = suspects.standing(now, request(DEADLY));
-    assert!(matches!(standing, Standing::Held(_)), "{standing:?}");
+    let restriction = suspects.restriction(now, request(CRASHING));
+    assert!(
+        matches!(restriction, RunRestriction::Quarantined(_)),
+        "{restriction:?}"
+    );
 }
 
 #[test]
@@ -228,35 +285,44 @@
     let mut all = Suspects::default();
     for number in 0..3 {
         let mut one = Suspects::default();
-        crash_under(&mut one, now, number, &[DEADLY, 100 + u128::from(number)]);
-        let (news, _) = one.changed(now, Change::default());
-        for suspect in &news {
+        record_crashes(&mut one, now, number, &[CRASHING, 100 + u128::from(number)]);
+        let (update, _) = one.changes_since(now, Change::default());
+        for suspect in &update {
             assert!(all.merge(now, suspect));
             assert!(!all.merge(now, suspect), "told twice is no news");
         }
     }
-    let held = Standing::Held(secs(600));
-    assert_eq!(all.standing(now, request(DEADLY)), held);
-    assert_eq!(all.standing(now, request(100)), Standing::Few);
+    let quarantined = RunRestriction::Quarantined(secs(600));
+    assert_eq!(all.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(
+        all.restriction(now, request(100)),
+        RunRestriction::FewAtOnce
+    );
 }
 
 #[test]
 fn merge_of_an_answer_clears() {
     let now = Instant::now();
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
-    crash_under(&mut here, now, 1, &[OTHER]);
-    crash_under(&mut there, now, 1, &[OTHER]);
-    there.answered(now, request(OTHER));
-    let news = there.get(now, OTHER).expect("a suspect").clone();
-    assert!(here.merge(now, &news));
-    assert_eq!(here.standing(now, request(OTHER)), Standing::Clear);
+    record_crashes(&mut here, now, 1, &[OTHER]);
+    record_crashes(&mut there, now, 1, &[OTHER]);
+    there.record_answer(now, request(OTHER));
+    let update = there.get(now, OTHER).expect("a suspect").clone();
+    assert!(here.merge(now, &update));
+    assert_eq!(
+        here.restriction(now, request(OTHER)),
+        RunRestriction::Unrestricted
+    );
     let old = Suspect {
-        answered: [].into(),
-        strikes: news.strikes.clone(),
-        ..news
+        answered_callers: [].into(),
+        records: update.records.clone(),
+        ..update
     };
     here.merge(now, &old);
-    assert_eq!(here.standing(now, request(OTHER)), Standing::Clear);
+    assert_eq!(
+        here.restriction(now, request(OTHER)),
+        RunRestriction::Unrestricted
+    );
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -284,10 +350,10 @@
             for event in events {
                 match *event {
                     Event::Crash(number, caller) => {
-                        suspects.crashed(now, by(DEADLY, caller), crash(number));
+                        suspects.record_crash(now, request_by(CRASHING, caller), crash(number));
                     }
                     Event::Answer(caller) => {
-                        suspects.answered(now, by(DEADLY, caller));
+                        suspects.record_answer(now, request_by(CRASHING, caller));
                     }
                 }
             }
@@ -295,16 +361,16 @@
         };
         let (mut one, mut other) = (play(&ours), play(&theirs));
         for _ in 0..2 {
-            for news in one.changed(now, Change::default()).0 {
-                other.merge(now, &news);
+            for update in one.changes_since(now, Change::default()).0 {
+                other.merge(now, &update);
             }
-            for news in other.changed(now, Change::default()).0 {
-                one.merge(now, &news);
+            for update in other.changes_since(now, Change::default()).0 {
+                one.merge(now, &update);
             }
         }
-        prop_assert_eq!(one.get(now, DEADLY), other.get(now, DEADLY));
-        for news in one.changed(now, Change::default()).0 {
-            prop_assert!(!other.merge(now, &news));
+        prop_assert_eq!(one.get(now, CRASHING), other.get(now, CRASHING));
+        for update in one.changes_since(now, Change::default()).0 {
+            prop_assert!(!other.merge(now, &update));
         }
     }
 }
