--- a/src/policy/retry/account.rs
+++ b/src/policy/retry/account.rs
@@ -1,28 +1,27 @@
-//! The retries of one request, shared by its whole tree of calls.
+//! The retries of one request, shared by its whole call tree.
 
 use std::collections::BTreeMap;
 
 use crate::model::Retries;
 
-/// Names a loan within one account.
+/// Identifies a grant within one account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantId(u64);
 
-/// Retries that travel with one attempt.
+/// Retries that are sent along with one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryGrant {
-    /// The name under which the rest comes home.
+    /// Identifies the grant when its unused retries are returned.
     pub id: GrantId,
-    /// How many retries the attempt may use in its own tree.
+    /// How many retries the attempt may use in its own call tree.
     pub retries: Retries,
 }
 
-/// Holds the retries that one call and all calls below it may still use.
+/// The retries that one call and all its downstream calls may still use.
 ///
-/// Retries are never made here: what is lent leaves the account, what comes
-/// home is at most what was lent and comes home once. So the total over a
-/// tree never passes what the first account was opened with, whatever is
-/// lost, repeated or made at the same time.
+/// A grant is deducted from the account, and at most the granted number is
+/// returned, once. So a call tree never uses more retries than its root call
+/// had, even if messages are lost or repeated or calls are made concurrently.
 #[derive(Debug)]
 pub struct RetryAccount {
     left: u32,
@@ -32,7 +31,7 @@
 }
 
 impl RetryAccount {
-    /// Opens an account.
+    /// Creates an account that holds `retries`.
     pub fn new(retries: Retries) -> Self {
         Self {
             left: retries.get(),
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Returns what can be spent or lent now.
+    /// Returns how many retries can be spent or granted now.
     pub fn left(&self) -> Retries {
         Retries::new(self.left)
     }
@@ -62,12 +61,12 @@
         true
     }
 
-    /// Lends retries to an attempt: three quarters of a large account, all but
+    /// Grants retries to an attempt: three quarters of a large account, all but
     /// one of a small one, or the only one.
     ///
-    /// What stays is for the case that the attempt is lost together with its
-    /// loan, and for attempts that are made at the same time. The rest goes
-    /// down, since a failure is cheapest to retry where it is met.
+    /// The remainder is for concurrent attempts, and for another attempt if this
+    /// one is lost together with its grant. Most retries are granted downstream,
+    /// since a failure is cheapest to retry where it occurs.
     pub fn grant(&mut self) -> RetryGrant {
         let share = match self.left {
             0 => 0,
@@ -85,21 +84,22 @@
         }
     }
 
-    /// Takes home what an attempt did not use; a repeat changes nothing.
+    /// Returns the retries that an attempt did not use; a repeat has no effect.
     pub fn reclaim(&mut self, id: GrantId, unused: Retries) {
         if let Some(granted) = self.grants.remove(&id) {
             self.left += unused.get().min(granted);
         }
     }
 
-    /// Gives up a loan whose attempt was lost; what it lent stays spent.
+    /// Discards the grant of a lost attempt; its retries count as spent.
     pub fn discard(&mut self, id: GrantId) {
         self.grants.remove(&id);
     }
 
-    /// Closes the account and returns what goes home to the one above.
+    /// Closes the account and returns the retries left, which belong to the
+    /// parent call again.
     ///
-    /// Loans that are still out are not part of it.
+    /// Outstanding grants are not included.
     pub fn close(&mut self) -> Retries {
         self.grants.clear();
         Retries::new(std::mem::take(&mut self.left))
--- a/src/policy/retry/allowance.rs
+++ b/src/policy/retry/allowance.rs
@@ -1,4 +1,4 @@
-//! Retries of one service within what an estate allows in any few seconds.
+//! Limit on the retries of one service in any window of a few seconds.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,32 +8,33 @@
 use super::window::EventWindow;
 use crate::model::{Level, RootId};
 
-/// Part of the estate's allowance that retries use by themselves. The rest is
-/// for the calls that are made by calls that were themselves retried.
+/// Fraction of the estate's allowance for the retries themselves. The rest
+/// covers the downstream calls that a retried call makes again.
 const DIRECT_FRACTION: f64 = 0.75;
-/// Time over which retries that were not used can be saved up.
+/// Time over which unused retries accumulate.
 const BURST_TIME: Duration = Duration::from_millis(500);
-/// Fewest retries that can be saved up; a daemon that sends few calls could
-/// otherwise never retry one.
+/// Smallest capacity for unused retries; without it a daemon that sends few
+/// calls could never retry one.
 const MIN_BURST_RETRIES: f64 = 1.5;
-/// Time in which the open part of the levels shrinks by e when no retries are
-/// left. Trees of calls last about a second; daemons whose levels moved much
-/// faster would choose other trees each time.
+/// Time in which the number of open levels shrinks by a factor of e while no
+/// retries are left. Call trees last about a second; if the levels changed much
+/// faster, daemons would choose other trees each time.
 const LEVEL_ADJUST_TIME: Duration = Duration::from_millis(300);
-/// Fewest levels that stay open: one tree in thirty of the most urgent class.
+/// Fewest levels that stay open: about one call tree in thirty of the most
+/// urgent class.
 const MIN_OPEN_LEVELS: f64 = (Level::STEPS / 32) as f64;
-/// How long a tree that got a retry is remembered; the users' requests last up
-/// to six seconds.
+/// How long a call tree that got a retry is remembered; requests last up to six
+/// seconds.
 const TREE_MEMORY_TIME: Duration = Duration::from_secs(6);
-/// Most trees that are remembered.
+/// Most call trees that are remembered.
 const MAX_TREES: usize = 4096;
 
-/// What an estate allows of retries, over all its daemons.
+/// The retries that an estate allows, over all its daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllowanceSettings {
-    /// Retries as a share of the calls of a service.
+    /// Retries as a share of the calls to a service.
     pub share: f64,
-    /// The time over which both are counted; any span of that length.
+    /// Length of the sliding window in which both are counted.
     pub window: Duration,
 }
 
@@ -47,13 +48,13 @@
     }
 }
 
-/// Gives leave for retries at the rate that the calls of the last window allow.
+/// Permits retries at a rate that follows from the calls of the last window.
 ///
-/// Where more are wanted than allowed, those go to the trees of calls whose
-/// level is highest, and a tree that got one is not dropped later. The level is
-/// made of the root, so that all daemons choose the same trees and a tree gets
-/// all the retries it needs or none: a few retries for each of many trees would
-/// let most of them fail all the same.
+/// If more are requested than allowed, the call trees of the highest levels get
+/// them, and a tree that got one keeps getting them. The level is derived from
+/// the root call, so that all daemons choose the same trees and a tree gets all
+/// the retries it needs or none: with a few retries for each of many trees, most
+/// of them would fail anyway.
 #[derive(Debug)]
 pub struct Allowance {
     settings: AllowanceSettings,
@@ -66,7 +67,7 @@
 }
 
 impl Allowance {
-    /// Makes an allowance of which nothing is saved up.
+    /// Creates an allowance without accumulated retries.
     pub fn new(settings: AllowanceSettings) -> Self {
         Self {
             settings,
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Takes note of a call that is made for the first time.
+    /// Records the first attempt at a call.
     pub fn record_call(&mut self, now: Instant) {
         self.call_window.add(now);
         self.refill(now);
     }
 
-    /// Takes one retry out for a call of `level` in the tree of `root`, if
-    /// there is one for it.
+    /// Takes one retry for a call of `level` in the call tree of `root`, if it
+    /// may have one.
     pub fn try_take(&mut self, now: Instant, level: Level, root: RootId) -> bool {
         self.refill(now);
         let needed_levels = (Level::COUNT - level.index()) as f64;
@@ -94,7 +95,7 @@
             return false;
         }
         if self.tokens < 1.0 {
-            // What is open has no use below the levels that ask.
+            // No retry is left even at this level, so lower levels are closed.
             self.open_levels = self.open_levels.min(needed_levels.max(MIN_OPEN_LEVELS));
             return false;
         }
@@ -103,8 +104,8 @@
         true
     }
 
-    /// Adds what the time since the last filling allows, and opens or closes
-    /// levels as much or little is saved up.
+    /// Adds the retries for the time since the last refill, and opens levels if
+    /// more than half of the capacity is left or closes some if less is.
     fn refill(&mut self, now: Instant) {
         let rate = self.call_window.rate(now) * self.settings.share * DIRECT_FRACTION;
         let since = self.last_refill.replace(now).unwrap_or(now);
--- a/src/policy/retry/budget.rs
+++ b/src/policy/retry/budget.rs
@@ -1,16 +1,16 @@
-//! What bounds the retries of one service at one daemon.
+//! Limits on the retries of one service at one daemon.
 
 use tokio::time::Instant;
 
 use super::{Allowance, RetryRatio};
 use crate::model::{Level, RootId};
 
-/// What bounds the retries of one service at one daemon.
+/// Limits the retries of one service at one daemon.
 #[derive(Debug)]
 pub enum RetryBudget {
-    /// A share of the calls that are answered here.
+    /// A share of the calls that are answered at this daemon.
     AnswerRatio(RetryRatio),
-    /// This daemon's part of what the estate allows in any few seconds.
+    /// This daemon's part of the estate's allowance in a sliding window.
     WindowAllowance(Box<Allowance>),
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl RetryBudget {
-    /// Takes note of a call that is made for the first time.
+    /// Records the first attempt at a call.
     pub fn record_call(&mut self, now: Instant) {
         match self {
             Self::AnswerRatio(_) => {}
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes note of a call that was answered.
+    /// Records an answered call.
     pub fn record_answer(&mut self) {
         match self {
             Self::AnswerRatio(ratio) => ratio.record_answer(),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Takes one retry out for a call of `level` in the tree of `root`, if
-    /// there is one for it.
+    /// Takes one retry for a call of `level` in the call tree of `root`, if it
+    /// may have one.
     pub fn try_take(&mut self, now: Instant, level: Level, root: RootId) -> bool {
         match self {
             Self::AnswerRatio(ratio) => ratio.try_take(),
--- a/src/policy/retry/decide.rs
+++ b/src/policy/retry/decide.rs
@@ -1,44 +1,44 @@
-//! Which failed attempts may be made again.
+//! The decision whether a failed attempt is retried.
 
 use std::time::Duration;
 
 use super::RetryAccount;
 use crate::model::Verdict;
 
-/// Whether a call may run twice.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatSafety {
-    /// Running twice does no harm.
+    /// Running it again does no harm.
     Safe,
-    /// Running twice does harm.
+    /// Running it again does harm.
     Unsafe,
 }
 
-/// What is known of an attempt that failed.
+/// A failed attempt, as far as the retry decision depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Whether a backend server may have run it.
+    /// Whether a backend server has or may have run it.
     pub verdict: Verdict,
-    /// Whether the cause was that the service has too much work everywhere.
+    /// Whether it failed because all servers of the service are overloaded.
     pub overload: bool,
     /// Time until the caller's deadline.
     pub time_left: Duration,
 }
 
-/// What to do about a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Make another attempt; one retry has been spent.
+    /// Make another attempt; the retry is already spent.
     Retry,
-    /// Give the failure to the caller at once.
+    /// Return the failure to the caller at once.
     GiveUp,
 }
 
-/// Time below which another attempt is not worth while.
+/// With less time than this before the deadline, no further attempt is made.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Decides on another attempt, and spends a retry for it; `take` takes one out
-/// of what the service may use.
+/// Decides whether to make another attempt, and spends a retry for it;
+/// `try_take` takes it from the service's retry budget.
 pub fn decide_retry(
     failed: FailedAttempt,
     safety: RepeatSafety,
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How many retries a request may use, and which failures may be retried.
+//! Retry budgets of requests and services, and which failures may be retried.
 
 mod account;
 mod allowance;
--- a/src/policy/retry/ratio.rs
+++ b/src/policy/retry/ratio.rs
@@ -1,16 +1,15 @@
-//! Retries of one service as a share of its answered calls.
+//! Limit on the retries of one service as a share of its answered calls.
 
-/// What one retry costs, in tenths of a retry.
+/// Cost of one retry, in tenths of a retry.
 const RETRY_COST: u32 = 10;
-/// What one call that is answered earns, in tenths of a retry: when few calls
-/// are answered, few are retried.
+/// What one answered call adds, in tenths of a retry: when few calls are
+/// answered, few are retried.
 const ANSWER_CREDIT: u32 = 1;
-/// Most that can be saved up, which is there at first: ten retries.
+/// Capacity and initial content, in tenths of a retry: ten retries.
 const MAX_TENTHS: u32 = 100;
 
-/// A token bucket that answered calls fill and retries empty.
-///
-/// It keeps retries from sustaining an overload.
+/// A token bucket that answered calls fill and retries empty, so that retries
+/// cannot sustain an overload.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryRatio {
     tenths: u32,
@@ -23,12 +22,12 @@
 }
 
 impl RetryRatio {
-    /// Takes note of a call that was answered.
+    /// Records an answered call.
     pub fn record_answer(&mut self) {
         self.tenths = (self.tenths + ANSWER_CREDIT).min(MAX_TENTHS);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Takes one retry, if there is one.
     pub fn try_take(&mut self) -> bool {
         if self.tenths < RETRY_COST {
             return false;
--- a/src/policy/retry/repeat.rs
+++ b/src/policy/retry/repeat.rs
@@ -1,11 +1,11 @@
-//! Repeats that callers themselves make.
+//! Detection of requests that callers themselves repeat.
 
 use std::collections::{HashSet, VecDeque};
 
-/// Keys that are remembered at one entry.
+/// Most keys that one entry remembers.
 const MAX_KEYS: usize = 8192;
 
-/// Recognises a caller's repeat by its attempt header or a key seen before.
+/// Recognises a caller's repeat by its attempt header or by its key.
 #[derive(Debug, Default)]
 pub struct RepeatDetector {
     keys: HashSet<u64>,
@@ -13,9 +13,9 @@
 }
 
 impl RepeatDetector {
-    /// Tells whether a call is a repeat, and remembers its key.
+    /// Returns whether a call is a repeat, and remembers its key.
     ///
-    /// `attempt` is the caller's count of its attempts, from 1.
+    /// `attempt` is the caller's attempt number, starting at 1.
     pub fn check(&mut self, attempt: Option<u32>, key: Option<u64>) -> bool {
         let known = key.is_some_and(|key| !self.record_key(key));
         known || attempt.is_some_and(|n| n > 1)
--- a/src/policy/retry/window.rs
+++ b/src/policy/retry/window.rs
@@ -1,16 +1,16 @@
-//! Counting over the last few seconds.
+//! Event counts in a sliding window.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Parts of a window that are counted apart; one leaves the count at a time.
+/// Number of parts of a window; events expire one part at a time.
 const PART_COUNT: usize = 20;
-/// Shortest time that a rate is taken over, so that a few calls at the start
-/// do not look like many a second.
+/// Shortest time over which a rate is computed, so that a few calls at the start
+/// do not appear as a high rate.
 const MIN_RATE_TIME: Duration = Duration::from_secs(1);
 
-/// Counts events of the last window.
+/// Counts the events in a sliding window.
 #[derive(Clone, Debug)]
 pub(super) struct EventWindow {
     part_length: Duration,
@@ -36,8 +36,8 @@
         self.counts[self.newest_part as usize % PART_COUNT] += 1;
     }
 
-    /// Returns the mean rate over the window, or over the time since the first
-    /// event if that is shorter, in events a second.
+    /// Returns the mean rate in events per second, over the window or over the
+    /// time since the first event if that is shorter.
     pub(super) fn rate(&mut self, now: Instant) -> f64 {
         let Some(first) = self.first_event else {
             return 0.0;
@@ -56,7 +56,7 @@
         for step in 1..=passed_parts.min(PART_COUNT as u64) {
             self.counts[(self.newest_part + step) as usize % PART_COUNT] = 0;
         }
-        // Parts that were passed over whole hold nothing.
+        // Parts that were skipped hold no events.
         self.newest_part = self.newest_part.max(part);
     }
 }
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! Retries within what an estate allows, and which trees of calls get them.
+//! The retry allowance of an estate, and which call trees get its retries.
 
 #![allow(missing_docs)]
 
@@ -15,16 +15,16 @@
 const STEPS_A_SECOND: usize = 100;
 const WINDOW: usize = 10 * STEPS_A_SECOND;
 
-/// Calls and retries of all daemons, by step.
+/// Calls and retries of all daemons in each step.
 struct Counts {
     calls: Vec<u32>,
     retries: Vec<u32>,
 }
 
 impl Counts {
-    /// Plays daemons that retry whatever they may, on calls that arrive at
-    /// `rates` a second, each for ten seconds.
-    fn play(daemons: usize, rates: &[f64]) -> Self {
+    /// Simulates daemons that make every retry they are allowed. Calls arrive at
+    /// each of `rates` per second for ten seconds.
+    fn simulate(daemons: usize, rates: &[f64]) -> Self {
         let mut all: Vec<Allowance> = (0..daemons)
             .map(|_| Allowance::new(AllowanceSettings::default()))
             .collect();
@@ -54,22 +54,28 @@
         counts
     }
 
+    /// Returns the calls in the window that ends at step `end`.
     fn calls_before(&self, end: usize) -> u32 {
         let end = end.min(self.calls.len());
         self.calls[end.saturating_sub(WINDOW)..end].iter().sum()
     }
 }
 
-/// The users count calls in the same ten seconds, the ten before, or those that
-/// began half a window before, whichever are most; and allow some more.
+/// Retries may be a fifth of the calls in the same ten seconds, in the ten
+/// seconds before or in those that began half a window earlier, whichever are
+/// most, plus some slack.
 #[rstest]
 #[case::small(13, &[900.0, 900.0], 47.0)]
 #[case::small_and_idle(16, &[40.0, 40.0], 47.0)]
 #[case::grown(75, &[9000.0, 9000.0], 100.0)]
 #[case::load_ends(13, &[1500.0, 0.0, 0.0], 47.0)]
 #[case::load_comes_and_goes(13, &[100.0, 1500.0, 100.0], 47.0)]
-fn take_stays_within_any_window(#[case] daemons: usize, #[case] rates: &[f64], #[case] slack: f64) {
-    let counts = Counts::play(daemons, rates);
+fn try_take_stays_within_any_window(
+    #[case] daemons: usize,
+    #[case] rates: &[f64],
+    #[case] slack: f64,
+) {
+    let counts = Counts::simulate(daemons, rates);
     for end in WINDOW..=counts.calls.len() {
         let retries: u32 = counts.retries[end - WINDOW..end].iter().sum();
         let calls =
@@ -91,26 +97,26 @@
     next_step: usize,
 }
 
-struct PassedTrees {
+struct SuccessCount {
     urgent: u32,
     other: u32,
 }
 
-/// Plays trees of calls to a service that refuses 55 of 100 calls by itself:
-/// 54 urgent ones a second of eight calls, 110 others of four, one after the
-/// other, 55 ms each.
-fn refusing_service(seed: u64, seconds: usize) -> PassedTrees {
+/// Simulates call trees at a service whose servers refuse 55 of 100 calls. Each
+/// second 54 urgent trees of eight calls start and 110 others of four; the calls
+/// of a tree follow one another and take 55 ms each.
+fn refusing_service(seed: u64, seconds: usize) -> SuccessCount {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut allowance = Allowance::new(AllowanceSettings::default());
     let start = Instant::now();
     let mut trees: Vec<Tree> = Vec::new();
-    let mut passed = PassedTrees {
+    let mut successes = SuccessCount {
         urgent: 0,
         other: 0,
     };
     for step in 0..(10 + seconds) * STEPS_A_SECOND {
         let now = start + STEP * step as u32;
-        // Ten seconds without trouble come first.
+        // The first ten seconds are without refusals.
         let refusing = step >= 10 * STEPS_A_SECOND;
         for (rate, urgent) in [(0.54, true), (1.1, false)] {
             let count = rate as usize + usize::from(rng.random_bool(f64::fract(rate)));
@@ -139,9 +145,9 @@
                     tree.next_step = step + 5;
                     if tree.calls_left == 0 && refusing {
                         *(if tree.urgent {
-                            &mut passed.urgent
+                            &mut successes.urgent
                         } else {
-                            &mut passed.other
+                            &mut successes.other
                         }) += 1;
                     }
                     return tree.calls_left > 0;
@@ -153,33 +159,34 @@
             false
         });
     }
-    passed
+    successes
 }
 
-/// A service whose servers all refuse 55 of 100 calls for some seconds, as
-/// those of the users do on their heavy days. Retries handed out as they are
-/// asked for let two in a hundred of the urgent trees pass.
+/// Guards against retries that are spread over all call trees while a service
+/// refuses 55 of 100 calls for some seconds. If each retry is granted in order of
+/// request, only two in a hundred urgent trees succeed.
 ///
-/// Which trees pass depends on their roots: of 400 plays the others that pass
-/// have a mean of 48, and 7 have 60 or more. So the mean of some plays is judged.
+/// Which trees succeed depends on their root calls: over 400 runs, 48 other trees
+/// succeed on average, and in 7 runs 60 or more. So the test checks the mean of
+/// several runs.
 #[test]
-fn take_lets_whole_trees_pass() {
-    const PLAYS: u64 = 20;
-    let plays: Vec<PassedTrees> = (0..PLAYS).map(|seed| refusing_service(seed, 8)).collect();
-    let mean = |count: fn(&PassedTrees) -> u32| {
-        let sum: u32 = plays.iter().map(count).sum();
-        f64::from(sum) / PLAYS as f64
+fn try_take_lets_whole_trees_succeed() {
+    const RUNS: u64 = 20;
+    let runs: Vec<SuccessCount> = (0..RUNS).map(|seed| refusing_service(seed, 8)).collect();
+    let mean = |count: fn(&SuccessCount) -> u32| {
+        let sum: u32 = runs.iter().map(count).sum();
+        f64::from(sum) / RUNS as f64
     };
-    let urgent = mean(|passed| passed.urgent) / (54.0 * 8.0);
+    let urgent = mean(|counts| counts.urgent) / (54.0 * 8.0);
     assert!(urgent > 0.1, "{urgent} of the urgent trees");
-    // Four in a hundred of the others pass without any retry.
-    let others = mean(|passed| passed.other);
+    // Four in a hundred other trees succeed without any retry.
+    let others = mean(|counts| counts.other);
     assert!(others < 54.0, "others {others}");
 }
 
-/// Where few calls are refused nearly each gets its retry.
+/// If few calls are refused, nearly every one of them gets its retry.
 #[test]
-fn take_serves_all_where_few_are_refused() {
+fn try_take_serves_all_if_few_are_refused() {
     let mut allowance = Allowance::new(AllowanceSettings::default());
     let mut rng = StdRng::seed_from_u64(5);
     let start = Instant::now();
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry account over whole trees of calls.
+//! Retry accounts over whole call trees, retry decisions and repeat detection.
 
 #![allow(missing_docs)]
 
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// A tree of calls whose attempts fail, are lost and answer twice.
+/// A call tree whose attempts fail, get lost or are answered twice.
 struct Tree {
     rng: SmallRng,
     fan_out: u32,
@@ -25,8 +25,7 @@
 }
 
 impl Tree {
-    /// Makes one call with all below it; returns what goes home, or nothing
-    /// if the answer is lost.
+    /// Makes one call with its downstream calls; returns whether it was answered.
     fn call(&mut self, depth: u32, account: &mut RetryAccount) -> bool {
         self.calls += 1;
         loop {
@@ -52,7 +51,7 @@
         let mut account = RetryAccount::new(grant.retries);
         let mut succeeded = !self.rng.random_bool(self.failed_rate);
         if depth > 0 {
-            // Children at the same time: all loans are out before any is home.
+            // Concurrent children: all grants are made before any is returned.
             let grants: Vec<RetryGrant> = (0..self.fan_out).map(|_| account.grant()).collect();
             for child in grants {
                 let mut child_account = RetryAccount::new(child.retries);
@@ -77,7 +76,7 @@
         seed: u64, depth in 1u32..=29, fan_out in 1u32..=3, retries in 0u32..=8,
         lost_rate in 0.0..0.6, failed_rate in 0.0..0.9, duplicate_rate in 0.0..0.5,
     ) {
-        // A wide tree is cut short, a chain is not.
+        // Wide trees are kept shallow, chains are not.
         let depth = if fan_out == 1 { depth } else { depth.min(6) };
         let mut tree = Tree {
             rng: SmallRng::seed_from_u64(seed), fan_out, lost_rate, failed_rate, duplicate_rate, calls: 0, used: 0,
@@ -146,8 +145,8 @@
     assert!(!ratio.try_take());
 }
 
-/// A request of two branches at the same time has retries for both, and what a
-/// branch does not use comes home.
+/// A request with two concurrent branches has retries for both, and gets back
+/// what a branch does not use.
 #[test]
 fn grant_leaves_some_for_a_second_branch() {
     let mut account = RetryAccount::new(Retries::new(64));
