--- a/src/policy/crash/restriction.rs
+++ b/src/policy/crash/restriction.rs
@@ -1,18 +1,19 @@
-//! What may be done with a request, by what is known of its fingerprint.
+//! Restrictions on running a suspected request.
 
 use std::time::Duration;
 
-/// What may be done with a request.
+/// How backend servers may run a request, by the crashes that its fingerprint is
+/// suspected of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunRestriction {
-    /// Nothing speaks against it.
+    /// It is not suspected.
     Unrestricted,
-    /// It was under way at one crash: a server runs few such requests at one
-    /// time, so that the next crash leaves few suspects.
+    /// It was in flight at one crash: a server runs few such requests at a time,
+    /// so that the next crash leaves few suspects.
     FewAtOnce,
-    /// It was under way at more crashes: a server runs one such request at one
-    /// time, so that the next crash tells whether it is the cause.
+    /// It was in flight at several crashes: a server runs one such request at a
+    /// time, so that the next crash shows whether it is the cause.
     OneAtOnce,
-    /// No server runs it for this long.
+    /// No server runs it until this time has passed.
     Quarantined(Duration),
 }
--- a/src/policy/crash/suspect.rs
+++ b/src/policy/crash/suspect.rs
@@ -1,4 +1,4 @@
-//! One request that was under way at crashes.
+//! One request that was in flight at crashes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,56 +8,55 @@
 use super::RunRestriction;
 use crate::model::{CrashId, Fingerprint};
 
-/// Crashes after which a request is held. One server may end by chance, and a
-/// repeat of the same caller may be there when the next one does; operators
-/// allow three.
+/// Crashes after which a request is quarantined. One server may crash by
+/// coincidence, and a repeat by the same caller may be in flight when the next
+/// one does; operators allow three crashes.
 const QUARANTINE_CRASHES: usize = 3;
-/// Crashes after which a request is held also where another one was under way
+/// Crashes after which a request is quarantined even if another one was in flight
 /// at all of them: by then both have run alone.
 const CERTAIN_CRASHES: usize = 6;
-/// Strikes that are remembered of one request.
+/// Most crash records that are kept of one request.
 const MAX_RECORDS: usize = 12;
-/// Callers that are remembered as answered, of one request.
+/// Most callers that are remembered as answered, for one request.
 const MAX_ANSWERED_CALLERS: usize = 8;
-/// How long a request is suspected after the last crash. Callers that come
-/// again do so within their deadlines, of some seconds.
+/// How long a request is suspected after the last crash. Callers that repeat it
+/// do so within their deadlines of some seconds.
 const SUSPICION_TIME: Duration = Duration::from_secs(60);
-/// How long a request is held after the last crash. A server that it crashes
-/// is away for some seconds, with all calls that were under way; once in ten
-/// minutes this costs an estate less than one call in a hundred of one server,
-/// and a request that is harmless again, as after a release, is soon served.
+/// How long a request is quarantined after the last crash. A crashed server is
+/// away for some seconds and its calls in flight are lost; once in ten minutes,
+/// that is less than one in a hundred calls of one server. A request that has
+/// become harmless, as after a release, is served soon enough.
 const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
-/// Times of one crash, told from daemon to daemon, differ by less than this.
+/// The times that daemons exchange for one crash differ by less than this.
 const SAME_CRASH_TOLERANCE: Duration = Duration::from_secs(2);
 
-/// A crash that a request of one caller was under way at.
+/// A crash at which a request of one caller was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashRecord {
     /// The crash.
     pub crash: CrashId,
-    /// Digest of who asked.
+    /// Digest of the caller.
     pub caller: u64,
 }
 
-/// What is known of one request that was under way at crashes.
+/// What is known of one request that was in flight at crashes.
 ///
-/// Daemons tell it to each other; what two of them know adds up to the same in
-/// whatever order it is told.
+/// Daemons exchange it by gossip; merging gives the same result in any order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// What is asked for, by whomever.
+    /// Digest of the request, whoever its caller is.
     pub digest: u128,
-    /// The crashes.
+    /// The crashes, each with a caller whose request was in flight.
     pub records: BTreeSet<CrashRecord>,
-    /// Digests of the callers to whom a server has answered it since.
+    /// Digests of the callers to whom a server has answered it.
     pub answered_callers: BTreeSet<u64>,
-    /// When the last crash was.
+    /// When the last crash occurred.
     pub last_crash: Instant,
 }
 
 impl Suspect {
-    /// Makes a suspect that was under way at no crash yet.
+    /// Creates a suspect without crashes.
     pub fn new(digest: u128, now: Instant) -> Self {
         Self {
             digest,
@@ -67,10 +66,10 @@
         }
     }
 
-    /// Takes note that it was under way at a crash; returns whether that is new.
+    /// Records that it was in flight at a crash; returns whether that is new.
     ///
-    /// A request that was answered to its caller crashes not each server that
-    /// runs it, so nothing more is held against that caller's.
+    /// A request that was answered to its caller does not crash each server, so
+    /// that caller's request is no longer suspected.
     pub(super) fn add_record(&mut self, now: Instant, record: CrashRecord) -> bool {
         if self.answered_callers.contains(&record.caller) || self.records.contains(&record) {
             return false;
@@ -81,15 +80,15 @@
         true
     }
 
-    /// Keeps the strikes with the highest ids, so that daemons that tell each
-    /// other of more than are kept end with the same ones.
+    /// Keeps the records with the highest crash ids, so that daemons that exchange
+    /// more than the maximum end up with the same ones.
     fn trim(&mut self) {
         while self.records.len() > MAX_RECORDS {
             self.records.pop_first();
         }
     }
 
-    /// Takes note that a server answered it to a caller.
+    /// Records that a server answered it to a caller; returns whether that is new.
     pub(super) fn add_answer(&mut self, caller: u64) -> bool {
         let is_new = self.answered_callers.len() < MAX_ANSWERED_CALLERS
             && self.answered_callers.insert(caller);
@@ -97,7 +96,7 @@
         is_new
     }
 
-    /// Adds what another daemon knows; returns whether that is more.
+    /// Merges the update of another daemon; returns whether anything is new.
     pub(super) fn merge(&mut self, update: &Self) -> bool {
         let mut changed = false;
         for caller in &update.answered_callers {
@@ -126,12 +125,12 @@
         self.records.iter().map(|record| record.crash).collect()
     }
 
-    /// Tells whether it was under way at all crashes that `other` was at.
+    /// Returns whether it was in flight at all crashes at which `other` was.
     pub(super) fn covers(&self, other: &Self) -> bool {
         self.crash_ids().is_superset(&other.crash_ids())
     }
 
-    /// Tells whether nothing is worth remembering any more.
+    /// Returns whether the last crash is so old that the suspect may be forgotten.
     pub fn is_expired(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.last_crash);
         let lifetime = match self.crash_count() {
@@ -141,20 +140,21 @@
         age >= lifetime
     }
 
-    /// Tells whether it was under way at enough crashes to be the cause of
-    /// them, if no other request was.
+    /// Returns whether it was in flight at enough crashes to be their cause,
+    /// provided that no other request was in flight at all of them.
     pub fn is_likely_cause(&self) -> bool {
         self.crash_count() >= QUARANTINE_CRASHES
     }
 
-    /// Returns what may be done with a request; `only` tells whether no other
-    /// suspect was under way at the same crashes.
+    /// Returns the restriction for a request; `is_only` says whether no other
+    /// suspect was in flight at the same crashes.
     ///
-    /// Where several callers asked for it at all crashes, only one of them may be
-    /// the cause: each runs alone until a crash meets one without the others.
+    /// If the requests of several callers were in flight at all crashes, one of
+    /// them may be the cause: each runs alone until a crash occurs with only one
+    /// of them in flight.
     ///
-    /// After its time a held request gets one more run, alone, and is held
-    /// again if that crashes a server.
+    /// When its quarantine ends, a request gets one more run, alone, and is
+    /// quarantined again if it crashes a server.
     pub(super) fn restriction(
         &self,
         now: Instant,
@@ -178,14 +178,14 @@
         }
     }
 
-    /// Tells whether a caller's request is meant: where that of one caller was
-    /// there at all crashes, those of others may be harmless.
+    /// Returns whether a caller's request may be the cause: if that of one caller
+    /// was in flight at all crashes, those of others may be harmless.
     fn implicates(&self, caller: u64) -> bool {
         let mut candidates = self.callers_at_all_crashes().peekable();
         candidates.peek().is_none() || candidates.any(|candidate| candidate == caller)
     }
 
-    /// Returns the callers that were there at all crashes.
+    /// Returns the callers whose requests were in flight at all crashes.
     fn callers_at_all_crashes(&self) -> impl Iterator<Item = u64> + '_ {
         let crashes = self.crash_ids();
         let callers: BTreeSet<u64> = self.records.iter().map(|record| record.caller).collect();
--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -1,4 +1,4 @@
-//! The requests that one daemon suspects.
+//! The suspects known to one daemon.
 
 use std::collections::HashMap;
 
@@ -8,11 +8,11 @@
 use crate::model::{CrashId, Fingerprint};
 use crate::policy::member::Change;
 
-/// Most requests that are remembered, of some 200 bytes each. One crash brings
-/// as many as its server has slots, some hundred.
+/// Most suspects that are remembered, of some 200 bytes each. One crash adds as
+/// many as its server has slots, some hundred.
 const MAX_SUSPECTS: usize = 2048;
 
-/// The requests that were under way at crashes, bounded in number and time.
+/// The requests that were in flight at crashes, limited in number and age.
 #[derive(Debug, Default)]
 pub struct Suspects {
     suspects: HashMap<u128, (Suspect, Change)>,
@@ -20,17 +20,17 @@
 }
 
 impl Suspects {
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Returns whether there is no suspect.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns what may be done with a request.
+    /// Returns the restriction for a request.
     pub fn restriction(&self, now: Instant, request: Fingerprint) -> RunRestriction {
         match self.suspects.get(&request.asked) {
             Some((suspect, _)) => {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Tells whether no other suspect was under way at all crashes that this
-    /// one was at.
+    /// Returns whether no other suspect was in flight at all crashes at which this
+    /// one was.
     fn is_only_candidate(&self, now: Instant, suspect: &Suspect) -> bool {
         suspect.is_likely_cause()
             && !self.suspects.values().any(|(other, _)| {
@@ -49,8 +49,8 @@
             })
     }
 
-    /// Takes note that a request was under way at a crash; returns whether
-    /// that is new.
+    /// Records that a request was in flight at a crash; returns whether that is
+    /// new.
     pub fn record_crash(&mut self, now: Instant, request: Fingerprint, crash: CrashId) -> bool {
         let record = CrashRecord {
             crash,
@@ -62,8 +62,8 @@
         is_new
     }
 
-    /// Takes note that a server answered a request; returns whether it was
-    /// suspected.
+    /// Records that a server answered a request; returns whether that is new of a
+    /// suspect.
     pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
         if !self.suspects.contains_key(&request.asked) {
             return false;
@@ -74,8 +74,8 @@
         is_new
     }
 
-    /// Takes what another daemon knows of a request; returns whether that is
-    /// more than was known here.
+    /// Merges another daemon's update of a suspect; returns whether anything in it
+    /// is new.
     pub fn merge(&mut self, now: Instant, update: &Suspect) -> bool {
         if update.is_expired(now) {
             return false;
@@ -93,13 +93,13 @@
         changed
     }
 
-    /// Returns what is known of a request.
+    /// Returns the suspect with a digest.
     pub fn get(&self, now: Instant, digest: u128) -> Option<&Suspect> {
         let (suspect, _) = self.suspects.get(&digest)?;
         (!suspect.is_expired(now)).then_some(suspect)
     }
 
-    /// Returns what changed after `since`, and the count of changes.
+    /// Returns the suspects changed after `since`, and the count of changes.
     pub fn changes_since(&self, now: Instant, since: Change) -> (Vec<Suspect>, Change) {
         let later =
             |(suspect, change): &&(Suspect, Change)| *change > since && !suspect.is_expired(now);
@@ -108,12 +108,13 @@
         (suspects, self.change)
     }
 
-    /// Forgets what is over.
+    /// Removes the suspects that have expired.
     pub fn remove_expired(&mut self, now: Instant) {
         self.suspects
             .retain(|_, (suspect, _)| !suspect.is_expired(now));
     }
 
+    /// Returns a copy of the suspect with a digest, or a new one.
     fn get_or_new(&mut self, now: Instant, digest: u128) -> Suspect {
         match self.suspects.get(&digest) {
             Some((suspect, _)) if !suspect.is_expired(now) => suspect.clone(),
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Puts a suspect back, as a change where something is new.
+    /// Stores a suspect and counts the change if something in it is new.
     fn store(&mut self, suspect: Suspect, is_new: bool) {
         if is_new {
             self.change = Change(self.change.0 + 1);
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Makes room for one more: what is over goes, else what least speaks
-    /// against, the oldest first.
+    /// Makes room for one more suspect: removes the expired ones, or else the one
+    /// with the fewest crashes, the oldest first.
     fn make_room(&mut self, now: Instant, digest: u128) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&digest) {
             return;
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -1,9 +1,9 @@
-//! Who is held for crashes of backend servers, and who is not.
+//! Which requests are quarantined for crashes of backend servers.
 //!
-//! The load answered here: one request crashes each server that runs it and
-//! comes again at once, anywhere, beside some fifty others that are under way at
-//! each crash and come again too. The grounds for the figures: operators allow
-//! three crashes; callers come again within a second, servers after some.
+//! The tests guard against a request that crashes each server that runs it and is
+//! repeated at once, at any server, beside some fifty others that are in flight at
+//! each crash and are repeated too. Operators allow three crashes; callers repeat
+//! requests within a second, servers restart after some.
 
 #![allow(missing_docs)]
 
@@ -16,7 +16,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-const CRASHING: u128 = 1;
+const DEADLY: u128 = 1;
 const OTHER: u128 = 2;
 const CALLER_A: u64 = 7;
 const CALLER_B: u64 = 8;
@@ -40,10 +40,10 @@
     CrashId::new(number)
 }
 
-/// Notes that all of `asked` were under way at a crash.
-fn record_crashes(suspects: &mut Suspects, now: Instant, number: u64, asked: &[u128]) {
-    for asked in asked {
-        suspects.record_crash(now, request(*asked), crash(number));
+/// Records that the requests with these digests were in flight at a crash.
+fn record_crashes(suspects: &mut Suspects, now: Instant, number: u64, digests: &[u128]) {
+    for digest in digests {
+        suspects.record_crash(now, request(*digest), crash(number));
     }
 }
 
@@ -53,12 +53,12 @@
 #[case::two(2, RunRestriction::OneAtOnce)]
 #[case::three(3, RunRestriction::Quarantined(secs(600)))]
 #[case::four(4, RunRestriction::Quarantined(secs(600)))]
-fn standing_by_crashes(#[case] crashes: u64, #[case] restriction: RunRestriction) {
+fn restriction_by_crashes(#[case] crashes: u64, #[case] restriction: RunRestriction) {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..crashes {
-        record_crashes(&mut suspects, now, number, &[CRASHING]);
+        record_crashes(&mut suspects, now, number, &[DEADLY]);
     }
-    assert_eq!(suspects.restriction(now, request(CRASHING)), restriction);
+    assert_eq!(suspects.restriction(now, request(DEADLY)), restriction);
     assert_eq!(
         suspects.restriction(now, request(OTHER)),
         RunRestriction::Unrestricted
@@ -66,19 +66,19 @@
 }
 
 #[test]
-fn crashed_twice_by_one_crash_counts_once() {
+fn record_crash_counts_each_crash_once() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for _ in 0..5 {
-        record_crashes(&mut suspects, now, 1, &[CRASHING]);
+        record_crashes(&mut suspects, now, 1, &[DEADLY]);
     }
     assert_eq!(
-        suspects.restriction(now, request(CRASHING)),
+        suspects.restriction(now, request(DEADLY)),
         RunRestriction::FewAtOnce
     );
 }
 
 #[test]
-fn answered_request_is_clear_and_stays_so() {
+fn answered_request_stays_unrestricted() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     record_crashes(&mut suspects, now, 1, &[OTHER]);
     record_crashes(&mut suspects, now, 2, &[OTHER]);
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn request_beside_the_deadly_one_each_time_runs_alone_until_it_is_answered() {
+fn request_beside_the_deadly_one_runs_alone_until_answered() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
+        record_crashes(&mut suspects, now, number, &[DEADLY, OTHER]);
     }
     assert_eq!(
-        suspects.restriction(now, request(CRASHING)),
+        suspects.restriction(now, request(DEADLY)),
         RunRestriction::OneAtOnce
     );
     assert_eq!(
@@ -108,7 +108,7 @@
     );
     suspects.record_answer(now, request(OTHER));
     let quarantined = RunRestriction::Quarantined(secs(600));
-    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(suspects.restriction(now, request(DEADLY)), quarantined);
     assert_eq!(
         suspects.restriction(now, request(OTHER)),
         RunRestriction::Unrestricted
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn request_that_crashes_one_more_server_alone_is_the_cause() {
+fn request_that_crashes_another_server_alone_is_the_cause() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
+        record_crashes(&mut suspects, now, number, &[DEADLY, OTHER]);
     }
-    record_crashes(&mut suspects, now, 4, &[CRASHING]);
+    record_crashes(&mut suspects, now, 4, &[DEADLY]);
     let quarantined = RunRestriction::Quarantined(secs(600));
-    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(suspects.restriction(now, request(DEADLY)), quarantined);
     assert_eq!(
         suspects.restriction(now, request(OTHER)),
         RunRestriction::OneAtOnce
@@ -131,99 +131,98 @@
 }
 
 #[test]
-fn request_that_is_at_all_crashes_with_another_is_held_in_the_end() {
+fn request_at_all_crashes_with_another_is_quarantined_after_six() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=6 {
-        record_crashes(&mut suspects, now, number, &[CRASHING, OTHER]);
+        record_crashes(&mut suspects, now, number, &[DEADLY, OTHER]);
     }
     let quarantined = RunRestriction::Quarantined(secs(600));
-    assert_eq!(suspects.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(suspects.restriction(now, request(DEADLY)), quarantined);
 }
 
 #[test]
-fn deadly_request_from_anywhere_is_held_for_all() {
+fn deadly_request_of_many_callers_is_quarantined_for_all() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for (number, caller) in [(1, 10), (2, 11), (3, 12)] {
-        suspects.record_crash(now, request_by(CRASHING, caller), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, caller), crash(number));
     }
     let quarantined = RunRestriction::Quarantined(secs(600));
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, 13)),
+        suspects.restriction(now, request_by(DEADLY, 13)),
         quarantined
     );
 }
 
 #[test]
-fn deadly_request_of_one_caller_is_held_for_that_one() {
+fn deadly_request_of_one_caller_is_quarantined_for_it() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, CALLER_A), crash(number));
     }
-    suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(2));
+    suspects.record_crash(now, request_by(DEADLY, CALLER_B), crash(2));
     let quarantined = RunRestriction::Quarantined(secs(600));
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_A)),
         quarantined
     );
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_B)),
         RunRestriction::OneAtOnce
     );
-    suspects.record_answer(now, request_by(CRASHING, CALLER_B));
+    suspects.record_answer(now, request_by(DEADLY, CALLER_B));
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_B)),
         RunRestriction::Unrestricted
     );
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_A)),
         quarantined
     );
 }
 
-/// Two callers whose requests for the same are under way at all crashes, of which
-/// one ends each server and the other none: which is which shows when they run
-/// alone.
+/// The same request of two callers is in flight at all crashes, but only that of
+/// one caller crashes servers, which shows when each runs alone.
 #[test]
-fn deadly_request_of_one_of_two_callers_is_held_for_that_one() {
+fn deadly_request_of_one_of_two_callers_is_quarantined_for_it() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
-        suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, CALLER_A), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, CALLER_B), crash(number));
     }
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_A)),
         RunRestriction::OneAtOnce
     );
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_B)),
         RunRestriction::OneAtOnce
     );
-    suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(4));
+    suspects.record_crash(now, request_by(DEADLY, CALLER_A), crash(4));
     let quarantined = RunRestriction::Quarantined(secs(600));
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_A)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_A)),
         quarantined
     );
     assert_eq!(
-        suspects.restriction(now, request_by(CRASHING, CALLER_B)),
+        suspects.restriction(now, request_by(DEADLY, CALLER_B)),
         RunRestriction::OneAtOnce
     );
 }
 
-/// The same where the request of either ends servers.
+/// As before, but the request crashes servers for either caller.
 #[test]
-fn deadly_request_of_two_callers_is_held_for_all_once_both_ran_alone() {
+fn deadly_request_of_two_callers_is_quarantined_once_both_ran_alone() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 1..=3 {
-        suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(number));
-        suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, CALLER_A), crash(number));
+        suspects.record_crash(now, request_by(DEADLY, CALLER_B), crash(number));
     }
-    suspects.record_crash(now, request_by(CRASHING, CALLER_A), crash(4));
-    suspects.record_crash(now, request_by(CRASHING, CALLER_B), crash(5));
+    suspects.record_crash(now, request_by(DEADLY, CALLER_A), crash(4));
+    suspects.record_crash(now, request_by(DEADLY, CALLER_B), crash(5));
     let quarantined = RunRestriction::Quarantined(secs(600));
     for caller in [CALLER_A, CALLER_B, 9] {
         assert_eq!(
-            suspects.restriction(now, request_by(CRASHING, caller)),
+            suspects.restriction(now, request_by(DEADLY, caller)),
             quarantined
         );
     }
@@ -232,16 +231,20 @@
 #[rstest]
 #[case::suspect_kept(1, 59, RunRestriction::FewAtOnce)]
 #[case::suspect_forgotten(1, 60, RunRestriction::Unrestricted)]
-#[case::held_kept(3, 599, RunRestriction::Quarantined(secs(1)))]
-#[case::held_gets_one_run(3, 600, RunRestriction::OneAtOnce)]
-#[case::held_forgotten(3, 1200, RunRestriction::Unrestricted)]
-fn standing_expires(#[case] crashes: u64, #[case] after: u64, #[case] restriction: RunRestriction) {
+#[case::quarantine_kept(3, 599, RunRestriction::Quarantined(secs(1)))]
+#[case::quarantined_gets_one_run(3, 600, RunRestriction::OneAtOnce)]
+#[case::quarantine_forgotten(3, 1200, RunRestriction::Unrestricted)]
+fn restriction_expires(
+    #[case] crashes: u64,
+    #[case] after: u64,
+    #[case] restriction: RunRestriction,
+) {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..crashes {
-        record_crashes(&mut suspects, now, number, &[CRASHING]);
+        record_crashes(&mut suspects, now, number, &[DEADLY]);
     }
     let later = now + secs(after);
-    assert_eq!(suspects.restriction(later, request(CRASHING)), restriction);
+    assert_eq!(suspects.restriction(later, request(DEADLY)), restriction);
     suspects.remove_expired(later);
     assert_eq!(
         suspects.is_empty(),
@@ -250,29 +253,29 @@
 }
 
 #[test]
-fn held_request_that_crashes_again_after_its_time_is_held_again() {
+fn request_that_crashes_after_its_quarantine_is_quarantined_again() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..3 {
-        record_crashes(&mut suspects, now, number, &[CRASHING]);
+        record_crashes(&mut suspects, now, number, &[DEADLY]);
     }
     let later = now + secs(700);
-    record_crashes(&mut suspects, later, 4, &[CRASHING]);
+    record_crashes(&mut suspects, later, 4, &[DEADLY]);
     let quarantined = RunRestriction::Quarantined(secs(600));
-    assert_eq!(suspects.restriction(later, request(CRASHING)), quarantined);
+    assert_eq!(suspects.restriction(later, request(DEADLY)), quarantined);
 }
 
 #[test]
-fn suspects_are_bounded_and_the_gravest_stay() {
+fn suspects_are_limited_and_those_with_most_crashes_stay() {
     let (now, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..3 {
-        record_crashes(&mut suspects, now, number, &[CRASHING]);
+        record_crashes(&mut suspects, now, number, &[DEADLY]);
     }
-    for asked in 0..10_000 {
+    for digest in 0..10_000 {
         let later = now + Duration::from_millis(1);
-        suspects.record_crash(later, request(1000 + asked), crash(99));
+        suspects.record_crash(later, request(1000 + digest), crash(99));
     }
     assert_eq!(suspects.len(), 2048);
-    let restriction = suspects.restriction(now, request(CRASHING));
+    let restriction = suspects.restriction(now, request(DEADLY));
     assert!(
         matches!(restriction, RunRestriction::Quarantined(_)),
         "{restriction:?}"
@@ -285,15 +288,15 @@
     let mut all = Suspects::default();
     for number in 0..3 {
         let mut one = Suspects::default();
-        record_crashes(&mut one, now, number, &[CRASHING, 100 + u128::from(number)]);
+        record_crashes(&mut one, now, number, &[DEADLY, 100 + u128::from(number)]);
         let (update, _) = one.changes_since(now, Change::default());
         for suspect in &update {
             assert!(all.merge(now, suspect));
-            assert!(!all.merge(now, suspect), "told twice is no news");
+            assert!(!all.merge(now, suspect), "merged twice");
         }
     }
     let quarantined = RunRestriction::Quarantined(secs(600));
-    assert_eq!(all.restriction(now, request(CRASHING)), quarantined);
+    assert_eq!(all.restriction(now, request(DEADLY)), quarantined);
     assert_eq!(
         all.restriction(now, request(100)),
         RunRestriction::FewAtOnce
@@ -301,7 +304,7 @@
 }
 
 #[test]
-fn merge_of_an_answer_clears() {
+fn merge_of_an_answer_lifts_the_restriction() {
     let now = Instant::now();
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     record_crashes(&mut here, now, 1, &[OTHER]);
@@ -339,27 +342,27 @@
 }
 
 proptest! {
-    /// Whatever two daemons know, and whoever tells first, both end with the
-    /// same, and stop telling.
+    /// Whatever two daemons know and whichever sends first, both end up with the
+    /// same state and have no further updates.
     #[test]
-    fn merge_ends_with_the_same(ours in prop::collection::vec(event(), 0..30),
+    fn merge_converges(ours in prop::collection::vec(event(), 0..30),
                                 theirs in prop::collection::vec(event(), 0..30)) {
         let now = Instant::now();
-        let play = |events: &[Event]| {
+        let apply = |events: &[Event]| {
             let mut suspects = Suspects::default();
             for event in events {
                 match *event {
                     Event::Crash(number, caller) => {
-                        suspects.record_crash(now, request_by(CRASHING, caller), crash(number));
+                        suspects.record_crash(now, request_by(DEADLY, caller), crash(number));
                     }
                     Event::Answer(caller) => {
-                        suspects.record_answer(now, request_by(CRASHING, caller));
+                        suspects.record_answer(now, request_by(DEADLY, caller));
                     }
                 }
             }
             suspects
         };
-        let (mut one, mut other) = (play(&ours), play(&theirs));
+        let (mut one, mut other) = (apply(&ours), apply(&theirs));
         for _ in 0..2 {
             for update in one.changes_since(now, Change::default()).0 {
                 other.merge(now, &update);
@@ -368,7 +371,7 @@
                 one.merge(now, &update);
             }
         }
-        prop_assert_eq!(one.get(now, CRASHING), other.get(now, CRASHING));
+        prop_assert_eq!(one.get(now, DEADLY), other.get(now, DEADLY));
         for update in one.changes_since(now, Change::default()).0 {
             prop_assert!(!other.merge(now, &update));
         }
