--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -143,9 +143,9 @@
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self.suspects.values().map(|(suspect, _)| suspect);
-        let least = least.min_by_key(|suspect| (suspect.crash_count(), suspect.last_crash));
-        if let Some(digest) = least.map(|suspect| suspect.digest) {
+        let weakest = self.suspects.values().map(|(suspect, _)| suspect);
+        let weakest = weakest.min_by_key(|suspect| (suspect.crash_count(), suspect.last_crash));
+        if let Some(digest) = weakest.map(|suspect| suspect.digest) {
             self.suspects.remove(&digest);
         }
     }
--- a/src/policy/rate/arrival_rate.rs
+++ b/src/policy/rate/arrival_rate.rs
@@ -7,17 +7,17 @@
 /// The exponentially weighted mean rate of arrivals.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ArrivalRate {
-    /// Time after which the weight of an arrival has fallen to about a third.
-    memory: Duration,
+    /// Time in which the weight of an arrival falls by a factor of e.
+    time_constant: Duration,
     /// Sum of the arrivals' weights at the last update.
     weight: f64,
     last_update: Instant,
 }
 
 impl ArrivalRate {
-    pub(super) fn new(now: Instant, memory: Duration) -> Self {
+    pub(super) fn new(now: Instant, time_constant: Duration) -> Self {
         Self {
-            memory,
+            time_constant,
             weight: 0.0,
             last_update: now,
         }
@@ -30,15 +30,19 @@
 
     /// Returns the arrivals per second.
     pub(super) fn rate(&self, now: Instant) -> f64 {
-        self.weight_at(now) / self.memory.as_secs_f64()
+        self.weight_at(now) / self.time_constant.as_secs_f64()
     }
 
     fn weight_at(&self, now: Instant) -> f64 {
-        self.weight * decay(now.saturating_duration_since(self.last_update), self.memory)
+        self.weight
+            * decay(
+                now.saturating_duration_since(self.last_update),
+                self.time_constant,
+            )
     }
 }
 
-/// Returns the weight left after `age`, which is 1/e after `memory`.
-pub(super) fn decay(age: Duration, memory: Duration) -> f64 {
-    (-age.as_secs_f64() / memory.as_secs_f64()).exp()
+/// Returns the weight left after `age`, which is 1/e after `time_constant`.
+pub(super) fn decay(age: Duration, time_constant: Duration) -> f64 {
+    (-age.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
--- a/src/policy/rate/local_credit.rs
+++ b/src/policy/rate/local_credit.rs
@@ -155,8 +155,9 @@
     /// Returns the query to send to the coordinator, if one is due; `is_waiting`
     /// says whether a request waits for the answer.
     pub fn next_query(&mut self, now: Instant, is_waiting: bool) -> Option<CreditQuery> {
-        let is_ahead = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        if is_ahead(self.disconnected_until) || is_ahead(self.refuse_until.map(|(until, _)| until))
+        let is_future = |until: Option<Instant>| until.is_some_and(|until| now < until);
+        if is_future(self.disconnected_until)
+            || is_future(self.refuse_until.map(|(until, _)| until))
         {
             return None;
         }
@@ -245,7 +246,7 @@
     ) {
         self.report_admits = 0.0;
         if self.disconnected_until.is_none() {
-            let since = match (self.share, self.last_contact) {
+            let backfill = match (self.share, self.last_contact) {
                 (Some((share, _)), Some(last_contact)) => {
                     let since = now
                         .saturating_duration_since(last_contact)
@@ -254,8 +255,8 @@
                 }
                 _ => tolerance.initial_credit() / members.max(1) as f64,
             };
-            self.credit += since.floor();
-            if rng.random_bool(since.fract().clamp(0.0, 1.0)) {
+            self.credit += backfill.floor();
+            if rng.random_bool(backfill.fract().clamp(0.0, 1.0)) {
                 self.credit += 1.0;
             }
             self.credit_time = now;
--- a/src/policy/retry/allowance.rs
+++ b/src/policy/retry/allowance.rs
@@ -63,6 +63,7 @@
     last_refill: Option<Instant>,
     /// How many levels get retries, counted from the highest.
     open_levels: f64,
+    /// Call trees that got a retry, and when.
     trees: HashMap<RootId, Instant>,
 }
 
