--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -6,7 +6,9 @@
 use bramleymount::model::{
     CentreName, ClassRank, Depth, GuardNews, Instance, Priority, Retries, RootId, Slots, StartStamp,
 };
-use bramleymount::policy::admission::{Admission, Decision, Outcome, Settings, Token, Waiting};
+use bramleymount::policy::admission::{
+    Admission, CallToken, Decision, Outcome, QueuedCall, Settings,
+};
 use bramleymount::policy::retry::Account;
 use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
 use rand::rngs::SmallRng;
@@ -61,15 +63,15 @@
         if let Pick::Target(target) = table.choose(now, want, &mut rng) {
             table.report(now, target, Report::Heard(GuardNews::default()));
         }
-        let token = Token(call);
+        let token = CallToken(call);
         let deadline = now + std::time::Duration::from_secs(1);
-        let waiting = Waiting {
+        let waiting = QueuedCall {
             token,
             priority,
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         if admission.arrive(now, waiting).0 == Decision::Start {
             black_box(admission.finish(now, token, Outcome::Answered));
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -298,7 +298,7 @@
         let c = &self.calls[call];
         let demand = self.servers[c.entry].tables[&c.service].demand(now);
         let service = self.names[self.calls[call].service].clone();
-        self.calls[parent].met.push(Met {
+        self.calls[parent].met.push(OnwardOutcome {
             service,
             demand,
             refused,
--- a/benches/overload/world/guard.rs
+++ b/benches/overload/world/guard.rs
@@ -34,13 +34,13 @@
     pub(super) fn admit(&mut self, id: ServerId, call: CallId) {
         let now = self.instant();
         let deadline = self.later(self.roots[self.calls[call].root].deadline);
-        let waiting = Waiting {
-            token: Token(call as u64),
+        let waiting = QueuedCall {
+            token: CallToken(call as u64),
             priority: self.priority(call),
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         let class = self.roots[self.calls[call].root].class;
         self.servers[id].waiting.insert(call, (class, self.now));
@@ -49,8 +49,8 @@
         };
         let (decision, events) = admission.arrive(now, waiting);
         match decision {
-            Decision::Start => self.admitted(id, Admitted::Start(Token(call as u64))),
-            Decision::Shed(shed) => self.admitted(id, Admitted::Shed(Token(call as u64), shed)),
+            Decision::Start => self.admitted(id, Admitted::Start(CallToken(call as u64))),
+            Decision::Shed(shed) => self.admitted(id, Admitted::Shed(CallToken(call as u64), shed)),
             Decision::Wait(_) => {}
         }
         self.deliver(id, events);
@@ -81,7 +81,7 @@
 
     pub(super) fn admitted(&mut self, id: ServerId, event: Admitted) {
         match event {
-            Admitted::Start(Token(call)) => {
+            Admitted::Start(CallToken(call)) => {
                 let call = call as CallId;
                 self.servers[id].waiting.remove(&call);
                 if !self.is_protected(call) {
@@ -89,7 +89,7 @@
                 }
                 self.start(id, call);
             }
-            Admitted::Shed(Token(call), shed) => {
+            Admitted::Shed(CallToken(call), shed) => {
                 let call = call as CallId;
                 let since = self.servers[id].waiting.remove(&call);
                 if shed == Shed::Overload && self.is_protected(call) {
@@ -196,8 +196,8 @@
         let met = std::mem::take(&mut self.calls[call].met);
         let mut events = Vec::new();
         if let Some(admission) = &mut self.servers[id].admission {
-            admission.met_below(now, Token(call as u64), &met, whole);
-            events = admission.finish(now, Token(call as u64), outcome);
+            admission.record_onward(now, CallToken(call as u64), &met, whole);
+            events = admission.finish(now, CallToken(call as u64), outcome);
         }
         if outcome == Outcome::Refused {
             self.calls[call].failed = Some(Shed::Overload);
@@ -215,7 +215,7 @@
     pub(super) fn send_back(&mut self, id: ServerId, call: CallId, whole: bool) {
         let now = self.instant();
         if let Some(admission) = &self.servers[id].admission {
-            self.calls[call].news = admission.news(now);
+            self.calls[call].news = admission.status(now);
         }
         let way = self.way(self.calls[call].entry, id);
         self.after(way, Event::Back(call, whole));
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -15,7 +15,8 @@
     ServiceName, Slots, StartStamp, Verdict,
 };
 use bramleymount::policy::admission::{
-    Admission, Decision, Event as Admitted, Met, Outcome, Settings, Shed, Token, Waiting,
+    Admission, CallToken, Decision, Event as Admitted, OnwardOutcome, Outcome, QueuedCall,
+    Settings, Shed,
 };
 use bramleymount::policy::retry::{Account, Failure, Loan, Ratio, Retry, Safety, decide};
 use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
@@ -91,7 +92,7 @@
     orphan: bool,
     closed: bool,
     news: GuardNews,
-    met: Vec<Met>,
+    met: Vec<OnwardOutcome>,
 }
 
 struct Server {
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -14,7 +14,7 @@
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
 use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
 use crate::peer::{self, Message};
-use crate::policy::admission::Met;
+use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{CUT_OFF, is_cut_off};
 use crate::policy::retry::{Account, Loan, Safety};
 use crate::policy::route::Table;
@@ -101,7 +101,7 @@
             let overload = matches!(&result, Err(refusal) if refusal.reason().is_overload());
             let refused = overload || cut_off;
             let failed = !matches!(&result, Ok(reply) if !reply.head.status.is_server_error());
-            let met = Met {
+            let met = OnwardOutcome {
                 service: self.head().service.clone(),
                 demand,
                 refused,
--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -11,7 +11,8 @@
 use crate::call::CallHead;
 use crate::model::{ClassRank, GuardNews, Slots, WorkspaceId};
 use crate::policy::admission::{
-    Admission, Decision, Event, Load, Met, Outcome, Settings, Shed, Token, Usage, Waiting, Weights,
+    Admission, CallToken, Decision, Event, GuardLoad, OnwardOutcome, Outcome, QueuedCall, Settings,
+    Shed, Usage, Weights,
 };
 
 /// Slot time and sheds by workspace, the greatest first.
@@ -19,7 +20,7 @@
 
 pub(super) struct Inner {
     pub(super) admission: Admission,
-    waiting: HashMap<Token, oneshot::Sender<Result<(), Shed>>>,
+    waiting: HashMap<CallToken, oneshot::Sender<Result<(), Shed>>>,
     next: u64,
     /// Whether a task lets calls start that wait for the server's rate.
     pub(super) pacing: bool,
@@ -64,14 +65,14 @@
         let (decision, token, waiter) = {
             let mut inner = self.inner.lock();
             inner.next += 1;
-            let token = Token(inner.next);
-            let call = Waiting {
+            let token = CallToken(inner.next);
+            let call = QueuedCall {
                 token,
                 priority: head.priority,
                 workspace: head.workspace,
                 deadline: head.deadline,
                 expires: head.deadline,
-                waits: head.waits,
+                may_wait: head.waits,
             };
             let (sender, receiver) = oneshot::channel();
             inner.waiting.insert(token, sender);
@@ -94,7 +95,7 @@
 
     async fn wait(
         self: &Arc<Self>,
-        token: Token,
+        token: CallToken,
         until: Instant,
         mut waiter: oneshot::Receiver<Result<(), Shed>>,
     ) -> Result<Pass, Shed> {
@@ -111,7 +112,7 @@
         }
     }
 
-    fn pass(self: &Arc<Self>, token: Token) -> Pass {
+    fn pass(self: &Arc<Self>, token: CallToken) -> Pass {
         Pass {
             gate: Arc::clone(self),
             token,
@@ -152,45 +153,48 @@
 
     /// Shares slot time among workspaces by these weights, or no longer.
     pub fn share(&self, weights: Option<Weights>) {
-        self.inner.lock().admission.share(Instant::now(), weights);
+        self.inner
+            .lock()
+            .admission
+            .set_weights(Instant::now(), weights);
     }
 
     fn count_shed(&self, workspace: Option<WorkspaceId>) {
-        if let Some(fair) = self.inner.lock().admission.fair() {
-            fair.spent().shed(workspace);
+        if let Some(fair) = self.inner.lock().admission.fair_queue() {
+            fair.usage().count_shed(workspace);
         }
     }
 
     /// Returns what the workspaces had of the slots, where they share.
     pub fn usages(&self) -> Usages {
         let mut inner = self.inner.lock();
-        let fair = inner.admission.fair();
-        fair.map_or_else(Vec::new, |fair| fair.spent().greatest())
+        let fair = inner.admission.fair_queue();
+        fair.map_or_else(Vec::new, |fair| fair.usage().top())
     }
 
     /// Returns the same of the time since it was last asked.
     pub fn lately(&self) -> Usages {
         let mut inner = self.inner.lock();
-        let fair = inner.admission.fair();
-        fair.map_or_else(Vec::new, |fair| fair.spent().take_lately())
+        let fair = inner.admission.fair_queue();
+        fair.map_or_else(Vec::new, |fair| fair.usage().take_recent())
     }
 
     /// Returns what answers carry of this guard.
     pub fn news(&self) -> GuardNews {
-        self.inner.lock().admission.news(Instant::now())
+        self.inner.lock().admission.status(Instant::now())
     }
 
     /// Returns when a caller may come back that was refused for `shed`.
     pub fn retry_after(&self, shed: Shed) -> Duration {
         let admission = &self.inner.lock().admission;
         match shed {
-            Shed::Limited => admission.return_after(Instant::now(), &mut rand::rng()),
+            Shed::Limited => admission.rate_retry_after(Instant::now(), &mut rand::rng()),
             _ => admission.retry_after(&mut rand::rng()),
         }
     }
 
     /// Returns the load, and counts of calls since the last report.
-    pub fn report(&self) -> Load {
+    pub fn report(&self) -> GuardLoad {
         self.inner.lock().admission.report(Instant::now())
     }
 
@@ -223,7 +227,7 @@
 /// Leave to run one call; the slot is free again when it is dropped.
 pub struct Pass {
     gate: Arc<Gate>,
-    token: Token,
+    token: CallToken,
     outcome: Outcome,
 }
 
@@ -235,15 +239,15 @@
 
     /// Notes whether the backend server failed the call by itself.
     pub fn judge(&self, faulty: bool) {
-        self.gate.inner.lock().admission.judge(faulty);
+        self.gate.inner.lock().admission.record_fault(faulty);
     }
 
     /// Notes what the call met further down its chain.
-    pub fn met_below(&self, met: &[Met], answered: bool) {
+    pub fn met_below(&self, met: &[OnwardOutcome], answered: bool) {
         let mut inner = self.gate.inner.lock();
         inner
             .admission
-            .met_below(Instant::now(), self.token, met, answered);
+            .record_onward(Instant::now(), self.token, met, answered);
     }
 }
 
--- a/src/guard/paced.rs
+++ b/src/guard/paced.rs
@@ -12,7 +12,7 @@
     /// whether that changes the rate.
     pub fn hear_rate(self: &Arc<Self>, sent: Instant, rate: NamedRate) -> bool {
         let now = Instant::now();
-        let is_news = self.inner.lock().admission.hear_rate(now, sent, rate);
+        let is_news = self.inner.lock().admission.record_rate(now, sent, rate);
         if is_news {
             self.with(|admission| admission.expire(now));
             self.pace(now);
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -14,7 +14,7 @@
 use super::{Gate, Lease, LeaseState, OnceCalls, Pass};
 use crate::call::{Attempt, Call, CallHead, OnceCall, Planned, Reason, Refusal, Reply};
 use crate::model::{ClassRank, Depth, Retries, ServiceName, Slots};
-use crate::policy::admission::{Settings, Shed, usable};
+use crate::policy::admission::{Settings, Shed, usable_slots};
 use crate::policy::member::Presence;
 use crate::policy::once::LedgerLimits;
 use crate::tables::{Detail, Held, Shared, Step};
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn slots(&self) -> Slots {
-        usable(self.announced().unwrap_or_else(|| self.declared()))
+        usable_slots(self.announced().unwrap_or_else(|| self.declared()))
     }
 
     /// Returns the slots by the rules in force.
--- a/src/policy/admission/share.rs
+++ b/src/policy/admission/class_shares.rs
@@ -12,11 +12,11 @@
 
 /// The share of each class's calls that called one service.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Shares {
+pub(crate) struct ClassShares {
     shares: [Option<f32>; ClassRank::COUNT],
 }
 
-impl Shares {
+impl ClassShares {
     /// Takes note of a call that ended, and whether it called the service.
     pub(crate) fn record(&mut self, rank: ClassRank, called: bool) {
         let sign = if called { 1.0 } else { 0.0 };
@@ -30,7 +30,7 @@
     }
 
     /// Returns the classes of which many calls called the service.
-    pub(super) fn many(&self) -> RankSet {
+    pub(super) fn frequent(&self) -> RankSet {
         let mut many = RankSet::default();
         for (place, share) in self.shares.iter().enumerate() {
             let is_in = share.is_some_and(|share| share >= MANY);
--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
-use super::line::Line;
+use super::wait_queue::WaitQueue;
 use super::{
-    Backlog, Chain, Decision, Event, FairQueue, Faults, Limit, Met, Outcome, Paid, Queue, Shed,
-    Threshold, Throttle, Token, Waiting, Weights,
+    Backlog, CallToken, ConcurrencyLimit, Decision, DownstreamLevels, Event, FairQueue, FaultRate,
+    OnwardOutcome, Outcome, Queue, QueuedCall, Shed, SlotCharge, Threshold, Throttle, Weights,
 };
 use crate::model::{ClassRank, Level, Priority, Slots};
 
@@ -34,14 +34,14 @@
 /// Admits, queues and sheds the calls to one backend server.
 #[derive(Debug)]
 pub struct Admission {
-    pub(super) limit: Limit,
-    pub(super) queue: Line,
+    pub(super) limit: ConcurrencyLimit,
+    pub(super) queue: WaitQueue,
     pub(super) threshold: Threshold,
     pub(super) throttle: Throttle,
-    pub(super) chain: Chain,
-    pub(super) faults: Faults,
+    pub(super) chain: DownstreamLevels,
+    pub(super) faults: FaultRate,
     protected: Option<ClassRank>,
-    pub(super) running: HashMap<Token, Running>,
+    pub(super) running: HashMap<CallToken, Running>,
     pub(super) leaving: bool,
     pub(super) started: u64,
     pub(super) shed: u64,
@@ -51,24 +51,24 @@
 pub(super) struct Running {
     started: Instant,
     level: Level,
-    paid: Option<Paid>,
+    paid: Option<SlotCharge>,
 }
 
 impl Admission {
     /// Makes the admission of a backend server.
     pub fn new(now: Instant, settings: Settings) -> Self {
         let limit = if settings.cold {
-            Limit::cold(settings.slots)
+            ConcurrencyLimit::cold(settings.slots)
         } else {
-            Limit::warm(settings.slots)
+            ConcurrencyLimit::warm(settings.slots)
         };
         Self {
             limit,
-            queue: Line::Plain(Queue::default()),
+            queue: WaitQueue::Plain(Queue::default()),
             threshold: Threshold::new(now),
             throttle: Throttle::default(),
-            chain: Chain::default(),
-            faults: Faults::default(),
+            chain: DownstreamLevels::default(),
+            faults: FaultRate::default(),
             protected: settings.protected,
             running: HashMap::new(),
             leaving: false,
@@ -84,13 +84,13 @@
     }
 
     /// Shares slot time among workspaces by these weights, or no longer.
-    pub fn share(&mut self, now: Instant, weights: Option<Weights>) {
-        self.queue.share(now, weights);
+    pub fn set_weights(&mut self, now: Instant, weights: Option<Weights>) {
+        self.queue.set_weights(now, weights);
     }
 
     /// Returns what is kept of workspaces, where they share.
-    pub fn fair(&mut self) -> Option<&mut FairQueue> {
-        self.queue.fair()
+    pub fn fair_queue(&mut self) -> Option<&mut FairQueue> {
+        self.queue.fair_queue()
     }
 
     /// Forgets what is known of the backend server, of which another run came.
@@ -100,20 +100,20 @@
     }
 
     fn relearn(&mut self, slots: Slots) {
-        self.limit = Limit::warm(slots);
-        self.faults = Faults::default();
+        self.limit = ConcurrencyLimit::warm(slots);
+        self.faults = FaultRate::default();
         self.queue.forget();
     }
 
     /// Starts anew with a cold backend server.
     pub fn restart(&mut self, slots: Slots) {
         self.relearn(slots);
-        self.limit = Limit::cold(slots);
+        self.limit = ConcurrencyLimit::cold(slots);
         self.leaving = false;
     }
 
     /// Decides on a call that arrives; events concern calls that waited.
-    pub fn arrive(&mut self, now: Instant, call: Waiting) -> (Decision, Vec<Event>) {
+    pub fn arrive(&mut self, now: Instant, call: QueuedCall) -> (Decision, Vec<Event>) {
         let (decision, events) = self.decide(now, call);
         if matches!(decision, Decision::Shed(_)) {
             self.shed += 1;
@@ -121,17 +121,17 @@
         (decision, events)
     }
 
-    fn decide(&mut self, now: Instant, call: Waiting) -> (Decision, Vec<Event>) {
+    fn decide(&mut self, now: Instant, call: QueuedCall) -> (Decision, Vec<Event>) {
         let mut events = Vec::new();
         if self.leaving {
             return (Decision::Shed(Shed::Leaving), events);
         }
         let level = call.priority.level();
         self.tick(now);
-        if !call.waits && self.is_limited(now) {
+        if !call.may_wait && self.is_limited(now) {
             return (Decision::Shed(Shed::Limited), events);
         }
-        self.threshold.arrived(level);
+        self.threshold.record_arrival(level);
         if self.too_late(now, call.deadline) {
             return (Decision::Shed(Shed::Deadline), events);
         }
@@ -139,7 +139,7 @@
         if level < self.chain.level(now, level.rank(), protected) {
             return (Decision::Shed(Shed::Downstream), events);
         }
-        self.queue.arrived(now, &call);
+        self.queue.record_arrival(now, &call);
         if self.queue.is_empty() && self.may_start(now) {
             self.start(now, &call);
             return (Decision::Start, events);
@@ -149,12 +149,12 @@
         (decision, events)
     }
 
-    fn enqueue(&mut self, now: Instant, call: Waiting, events: &mut Vec<Event>) -> Decision {
+    fn enqueue(&mut self, now: Instant, call: QueuedCall, events: &mut Vec<Event>) -> Decision {
         if self.is_limited(now) {
             return self.enqueue_limited(now, call, events);
         }
         if self.queue.len() >= self.queue_bound() {
-            self.threshold.shed();
+            self.threshold.record_shed();
             match self.queue.make_room(&call) {
                 Some(least) => events.push(Event::Shed(least.token, Shed::Overload)),
                 None => return Decision::Shed(Shed::Overload),
@@ -165,19 +165,19 @@
         } else {
             call.deadline.min(now + MAX_WAIT)
         };
-        self.queue.push(now, Waiting { expires, ..call });
+        self.queue.push(now, QueuedCall { expires, ..call });
         Decision::Wait(expires)
     }
 
     /// Takes note of a call that ended, and starts those that waited.
-    pub fn finish(&mut self, now: Instant, token: Token, outcome: Outcome) -> Vec<Event> {
+    pub fn finish(&mut self, now: Instant, token: CallToken, outcome: Outcome) -> Vec<Event> {
         let mut events = Vec::new();
         let in_flight = self.running.len();
         if let Some(run) = self.running.remove(&token) {
             let latency = now.saturating_duration_since(run.started);
             self.limit.record(now, outcome, latency, in_flight);
             if let Some(paid) = run.paid {
-                self.queue.end(now, paid, run.started, outcome);
+                self.queue.settle(now, paid, run.started, outcome);
             }
         }
         self.tick(now);
@@ -187,19 +187,25 @@
 
     /// Takes note of what a running call met further down its chain, and
     /// whether it was answered well.
-    pub fn met_below(&mut self, now: Instant, token: Token, met: &[Met], answered: bool) {
+    pub fn record_onward(
+        &mut self,
+        now: Instant,
+        token: CallToken,
+        met: &[OnwardOutcome],
+        answered: bool,
+    ) {
         if let Some(run) = self.running.get(&token) {
-            self.chain.hear(now, run.level.rank(), met, answered);
+            self.chain.record(now, run.level.rank(), met, answered);
         }
     }
 
     /// Takes note of whether the backend server failed a call by itself.
-    pub fn judge(&mut self, faulty: bool) {
+    pub fn record_fault(&mut self, faulty: bool) {
         self.faults.record(faulty);
     }
 
     /// Takes a waiting call out; a running one goes on until it is finished.
-    pub fn cancel(&mut self, token: Token) {
+    pub fn cancel(&mut self, token: CallToken) {
         self.queue.remove(token);
     }
 
@@ -214,8 +220,8 @@
         events
     }
 
-    fn expiry(&mut self, now: Instant, call: &Waiting) -> Shed {
-        self.threshold.shed();
+    fn expiry(&mut self, now: Instant, call: &QueuedCall) -> Shed {
+        self.threshold.record_shed();
         if call.deadline <= now {
             Shed::Deadline
         } else if self.throttle.rate().is_some() {
@@ -277,14 +283,14 @@
         self.limit.latency().unwrap_or_default().mul_f64(0.5)
     }
 
-    fn start(&mut self, now: Instant, call: &Waiting) {
-        self.threshold.started();
+    fn start(&mut self, now: Instant, call: &QueuedCall) {
+        self.threshold.record_start();
         self.throttle.start(now);
         self.started += 1;
         let run = Running {
             started: now,
             level: call.priority.level(),
-            paid: self.queue.start(call),
+            paid: self.queue.charge(call),
         };
         self.running.insert(call.token, run);
     }
@@ -295,7 +301,7 @@
                 return;
             };
             if self.too_late(now, call.deadline) {
-                self.threshold.shed();
+                self.threshold.record_shed();
                 events.push(Event::Shed(call.token, Shed::Deadline));
                 continue;
             }
--- a/src/policy/admission/decision.rs
+++ b/src/policy/admission/decision.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::{Shed, Token};
+use super::{CallToken, Shed};
 
 /// What is done with a call that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// It starts now.
-    Start(Token),
+    Start(CallToken),
     /// It is shed.
-    Shed(Token, Shed),
+    Shed(CallToken, Shed),
 }
--- a/src/policy/admission/chain.rs
+++ b/src/policy/admission/downstream.rs
@@ -4,13 +4,13 @@
 
 use tokio::time::Instant;
 
-use super::Heard;
-use super::share::Shares;
+use super::LastLevel;
+use super::class_shares::ClassShares;
 use crate::model::{ClassRank, Demand, Level, RankSet, ServiceName};
 
 /// What a call met at a service that it called onwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Met {
+pub struct OnwardOutcome {
     /// The service.
     pub service: ServiceName,
     /// What it demands now.
@@ -23,11 +23,11 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Below {
-    level: Heard,
-    below: Heard,
+    level: LastLevel,
+    below: LastLevel,
     classes: RankSet,
     depends: RankSet,
-    callers: Shares,
+    callers: ClassShares,
 }
 
 /// Learns below which level calls would fail further down.
@@ -37,24 +37,24 @@
 /// of them has failed since the service refused, and until one was answered all
 /// the same; so work that does not depend on the refusing service goes on.
 #[derive(Debug, Default)]
-pub struct Chain {
+pub struct DownstreamLevels {
     services: BTreeMap<ServiceName, Below>,
 }
 
-impl Chain {
+impl DownstreamLevels {
     /// Takes note of what a call of `rank` met, and how it ended.
-    pub fn hear(&mut self, now: Instant, rank: ClassRank, met: &[Met], answered: bool) {
+    pub fn record(&mut self, now: Instant, rank: ClassRank, met: &[OnwardOutcome], answered: bool) {
         for (service, below) in &mut self.services {
             let called = met.iter().any(|one| one.service == *service);
             below.callers.record(rank, called);
         }
         for one in met {
             if let Some(below) = self.services.get_mut(&one.service) {
-                below.hear(now, rank, one, answered);
+                below.record(now, rank, one, answered);
             } else {
                 let below = self.services.entry(one.service.clone()).or_default();
                 below.callers.record(rank, true);
-                below.hear(now, rank, one, answered);
+                below.record(now, rank, one, answered);
             }
         }
     }
@@ -79,9 +79,9 @@
 }
 
 impl Below {
-    fn hear(&mut self, now: Instant, rank: ClassRank, met: &Met, answered: bool) {
-        self.level.hear(now, met.demand.level);
-        self.below.hear(now, met.demand.below);
+    fn record(&mut self, now: Instant, rank: ClassRank, met: &OnwardOutcome, answered: bool) {
+        self.level.record(now, met.demand.level);
+        self.below.record(now, met.demand.below);
         self.classes = met.demand.classes;
         if met.refused {
             self.depends.set(rank, !answered);
@@ -102,7 +102,7 @@
 
     /// Returns the classes that cannot do without the service.
     fn dependents(&self) -> RankSet {
-        self.depends.both(self.callers.many())
+        self.depends.both(self.callers.frequent())
     }
 
     fn highest(&self, now: Instant) -> (Level, RankSet) {
--- a/src/policy/admission/fair.rs
+++ b/src/policy/admission/fair.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::fair_class::{Charge, FairClass};
-use super::{Outcome, Spent, Token, Waiting, Weights};
+use super::{CallToken, Outcome, QueuedCall, UsageTable, Weights};
 use crate::model::{ClassRank, WorkspaceId};
 
 /// How often accounts that are no longer used are looked for.
@@ -14,7 +14,7 @@
 
 /// What a started call was charged.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Paid {
+pub struct SlotCharge {
     rank: ClassRank,
     workspace: Option<WorkspaceId>,
     estimate: f64,
@@ -32,8 +32,8 @@
 pub struct FairQueue {
     weights: Weights,
     classes: BTreeMap<ClassRank, FairClass>,
-    places: HashMap<Token, (ClassRank, Option<WorkspaceId>)>,
-    spent: Spent,
+    places: HashMap<CallToken, (ClassRank, Option<WorkspaceId>)>,
+    usage: UsageTable,
     epoch: u32,
     answered: Option<Instant>,
     swept: Instant,
@@ -46,7 +46,7 @@
             weights,
             classes: BTreeMap::new(),
             places: HashMap::new(),
-            spent: Spent::default(),
+            usage: UsageTable::default(),
             epoch: 0,
             answered: None,
             swept: now,
@@ -54,9 +54,9 @@
     }
 
     /// Takes changed weights.
-    pub fn reweigh(&mut self, weights: Weights) {
+    pub fn set_weights(&mut self, weights: Weights) {
         let classes = self.classes.values_mut();
-        classes.for_each(|class| class.reweigh(&weights));
+        classes.for_each(|class| class.set_weights(&weights));
         self.weights = weights;
     }
 
@@ -71,15 +71,15 @@
     }
 
     /// Takes note of a call that may start or wait.
-    pub fn arrived(&mut self, now: Instant, call: &Waiting) {
+    pub fn record_arrival(&mut self, now: Instant, call: &QueuedCall) {
         self.sweep(now);
         let weight = self.weights.of(call.workspace);
         let class = self.classes.entry(call.priority.rank()).or_default();
-        class.arrived(now, call, weight);
+        class.record_arrival(now, call, weight);
     }
 
     /// Adds a call.
-    pub fn push(&mut self, now: Instant, call: Waiting) {
+    pub fn push(&mut self, now: Instant, call: QueuedCall) {
         let rank = call.priority.rank();
         let weight = self.weights.of(call.workspace);
         self.places.insert(call.token, (rank, call.workspace));
@@ -88,7 +88,7 @@
     }
 
     /// Takes the call that starts next.
-    pub fn pop_first(&mut self) -> Option<Waiting> {
+    pub fn pop_first(&mut self) -> Option<QueuedCall> {
         let call = self.classes.values_mut().find_map(FairClass::pop_first)?;
         self.places.remove(&call.token);
         Some(call)
@@ -96,7 +96,7 @@
 
     /// Takes a call out to make room for another one; `None` if it is the
     /// `arriving` one that there is no room for.
-    pub fn make_room(&mut self, arriving: &Waiting) -> Option<Waiting> {
+    pub fn make_room(&mut self, arriving: &QueuedCall) -> Option<QueuedCall> {
         let rank = arriving.priority.rank();
         let mut classes = self.classes.iter_mut().rev();
         let (least, class) = classes.find(|(_, class)| class.is_waiting())?;
@@ -110,13 +110,13 @@
     }
 
     /// Takes out the call named `token`.
-    pub fn remove(&mut self, token: Token) -> Option<Waiting> {
+    pub fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         let (rank, workspace) = self.places.remove(&token)?;
         self.classes.get_mut(&rank)?.remove(workspace, token)
     }
 
     /// Takes out all calls whose wait has ended.
-    pub fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         let classes = self.classes.values_mut().rev();
         let expired: Vec<_> = classes.flat_map(|class| class.take_expired(now)).collect();
         for call in &expired {
@@ -126,20 +126,20 @@
     }
 
     /// Takes out all calls.
-    pub fn drain(&mut self) -> Vec<Waiting> {
+    pub fn drain(&mut self) -> Vec<QueuedCall> {
         self.places.clear();
         let classes = self.classes.values_mut().rev();
         classes.flat_map(FairClass::drain).collect()
     }
 
     /// Charges a call that starts what calls of its workspace took lately.
-    pub fn start(&mut self, call: &Waiting) -> Paid {
+    pub fn charge(&mut self, call: &QueuedCall) -> SlotCharge {
         let rank = call.priority.rank();
         let class = self.classes.entry(rank).or_default();
-        Paid {
+        SlotCharge {
             rank,
             workspace: call.workspace,
-            estimate: class.start(call),
+            estimate: class.charge(call),
             epoch: self.epoch,
         }
     }
@@ -147,14 +147,14 @@
     /// Corrects the charge of a call to what it took.
     ///
     /// Time in which the backend server answered nobody is charged to nobody.
-    pub fn end(&mut self, now: Instant, paid: Paid, started: Instant, outcome: Outcome) {
+    pub fn settle(&mut self, now: Instant, paid: SlotCharge, started: Instant, outcome: Outcome) {
         let answered = outcome == Outcome::Answered;
         if outcome != Outcome::Failed {
             self.answered = Some(now);
         }
         let until = self.answered.unwrap_or(started);
         let taken = until.saturating_duration_since(started);
-        self.spent.charge(paid.workspace, taken);
+        self.usage.add_time(paid.workspace, taken);
         if paid.epoch != self.epoch {
             return;
         }
@@ -164,13 +164,13 @@
             answered,
         };
         if let Some(class) = self.classes.get_mut(&paid.rank) {
-            class.end(now, paid.workspace, charge);
+            class.settle(now, paid.workspace, charge);
         }
     }
 
     /// Returns what each workspace had of the slots.
-    pub fn spent(&mut self) -> &mut Spent {
-        &mut self.spent
+    pub fn usage(&mut self) -> &mut UsageTable {
+        &mut self.usage
     }
 
     /// Forgets all charges, since the backend server has started anew.
--- a/src/policy/admission/fair_class.rs
+++ b/src/policy/admission/fair_class.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::flow::Flow;
-use super::{Token, Waiting, Weights};
+use super::{CallToken, QueuedCall, Weights};
 use crate::model::WorkspaceId;
 
 /// Expected slot time in seconds before any call was answered; it only has to be
@@ -51,23 +51,24 @@
     }
 
     /// Takes note of a call that arrives.
-    pub(super) fn arrived(&mut self, now: Instant, call: &Waiting, weight: f64) {
+    pub(super) fn record_arrival(&mut self, now: Instant, call: &QueuedCall, weight: f64) {
         let (clock, mean) = (self.clock, self.mean);
-        self.flow(now, call, weight).arrived(now, clock, mean);
+        self.flow(now, call, weight)
+            .record_arrival(now, clock, mean);
     }
 
     /// Adds a call.
-    pub(super) fn push(&mut self, now: Instant, call: Waiting, weight: f64) {
+    pub(super) fn push(&mut self, now: Instant, call: QueuedCall, weight: f64) {
         self.flow(now, &call, weight).calls.push(call);
     }
 
-    fn flow(&mut self, now: Instant, call: &Waiting, weight: f64) -> &mut Flow {
+    fn flow(&mut self, now: Instant, call: &QueuedCall, weight: f64) -> &mut Flow {
         let new = || Flow::new(now, weight);
         self.flows.entry(call.workspace).or_insert_with(new)
     }
 
     /// Takes the call that starts next.
-    pub(super) fn pop_first(&mut self) -> Option<Waiting> {
+    pub(super) fn pop_first(&mut self) -> Option<QueuedCall> {
         let waiting = self.flows.values_mut();
         let waiting = waiting.filter(|flow| !flow.calls.is_empty());
         let next = waiting.min_by(|a, b| {
@@ -79,7 +80,7 @@
 
     /// Takes out the least important call of the workspace that is furthest over
     /// its share; `None` if that is the call `arriving`.
-    pub(super) fn evict(&mut self, arriving: Option<&Waiting>) -> Option<Waiting> {
+    pub(super) fn evict(&mut self, arriving: Option<&QueuedCall>) -> Option<QueuedCall> {
         let mean = self.mean;
         let candidates = self.flows.iter_mut().filter_map(|(id, flow)| {
             let own = arriving.filter(|call| call.workspace == *id);
@@ -97,7 +98,7 @@
     }
 
     /// Charges a call that starts; returns the seconds charged.
-    pub(super) fn start(&mut self, call: &Waiting) -> f64 {
+    pub(super) fn charge(&mut self, call: &QueuedCall) -> f64 {
         let Some(flow) = self.flows.get_mut(&call.workspace) else {
             return 0.0;
         };
@@ -109,7 +110,7 @@
     }
 
     /// Corrects the charge of a call that ended.
-    pub(super) fn end(&mut self, now: Instant, of: Option<WorkspaceId>, ended: Charge) {
+    pub(super) fn settle(&mut self, now: Instant, of: Option<WorkspaceId>, ended: Charge) {
         let Some(flow) = self.flows.get_mut(&of) else {
             return;
         };
@@ -122,12 +123,16 @@
     }
 
     /// Takes out a call.
-    pub(super) fn remove(&mut self, of: Option<WorkspaceId>, token: Token) -> Option<Waiting> {
+    pub(super) fn remove(
+        &mut self,
+        of: Option<WorkspaceId>,
+        token: CallToken,
+    ) -> Option<QueuedCall> {
         self.flows.get_mut(&of)?.calls.remove(token)
     }
 
     /// Takes out all calls whose wait has ended.
-    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
+    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         let flows = self.flows.values_mut();
         flows
             .flat_map(|flow| flow.calls.take_expired(now))
@@ -135,7 +140,7 @@
     }
 
     /// Takes out all calls.
-    pub(super) fn drain(&mut self) -> Vec<Waiting> {
+    pub(super) fn drain(&mut self) -> Vec<QueuedCall> {
         let flows = self.flows.values_mut();
         flows.flat_map(|flow| flow.calls.drain()).collect()
     }
@@ -149,7 +154,7 @@
     }
 
     /// Takes changed weights.
-    pub(super) fn reweigh(&mut self, weights: &Weights) {
+    pub(super) fn set_weights(&mut self, weights: &Weights) {
         for (id, flow) in &mut self.flows {
             flow.weight = weights.of(*id);
         }
--- a/src/policy/admission/faults.rs
+++ b/src/policy/admission/fault_rate.rs
@@ -9,11 +9,11 @@
 /// that it made onwards were answered. Refusals do not count: they cost little,
 /// and the rest of what the server takes is of use.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Faults {
+pub struct FaultRate {
     share: f64,
 }
 
-impl Faults {
+impl FaultRate {
     /// Takes note of a call that ended.
     pub fn record(&mut self, faulty: bool) {
         let sign = if faulty { 1.0 } else { 0.0 };
--- a/src/policy/admission/fill.rs
+++ b/src/policy/admission/fill.rs
@@ -12,7 +12,7 @@
 const FEW: u32 = 17;
 
 /// Returns how many of a backend server's slots are used.
-pub fn usable(slots: Slots) -> Slots {
+pub fn usable_slots(slots: Slots) -> Slots {
     if slots.get() < FEW {
         return slots;
     }
--- a/src/policy/admission/flow.rs
+++ b/src/policy/admission/flow.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::{Queue, Waiting};
+use super::{Queue, QueuedCall};
 use crate::model::Priority;
 
 /// Weight of one call in the moving average of slot time.
@@ -45,7 +45,7 @@
 
     /// Takes note of a call that arrives. An idle workspace has stored up no more
     /// than a few calls.
-    pub(super) fn arrived(&mut self, now: Instant, clock: f64, class_mean: f64) {
+    pub(super) fn record_arrival(&mut self, now: Instant, clock: f64, class_mean: f64) {
         self.used = now;
         if self.calls.is_empty() {
             let stored = STORED * self.estimate(class_mean) / self.weight;
@@ -88,7 +88,7 @@
     }
 
     /// Returns the least important call.
-    pub(super) fn least(&self) -> Option<&Waiting> {
+    pub(super) fn least(&self) -> Option<&QueuedCall> {
         self.calls.least()
     }
 
--- a/src/policy/admission/heard.rs
+++ b/src/policy/admission/last_level.rs
@@ -16,13 +16,13 @@
 /// When nothing is sent, no answers bring news; ageing lets calls through
 /// again by itself, the most important first.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heard {
+pub struct LastLevel {
     news: Option<(Level, Instant)>,
 }
 
-impl Heard {
+impl LastLevel {
     /// Takes note of a level.
-    pub fn hear(&mut self, now: Instant, level: Level) {
+    pub fn record(&mut self, now: Instant, level: Level) {
         self.news = Some((level, now));
     }
 
--- a/src/policy/admission/limit.rs
+++ b/src/policy/admission/limit.rs
@@ -31,7 +31,7 @@
 /// of answers later; when the backend server sheds, it shrinks to what was in
 /// flight then.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     ceiling: f64,
     current: f64,
     cold: bool,
@@ -39,7 +39,7 @@
     latency: Option<f64>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Makes the limit of a backend server that has been running.
     pub fn warm(slots: Slots) -> Self {
         let ceiling = f64::from(slots.get());
--- a/src/policy/admission/load.rs
+++ b/src/policy/admission/load.rs
@@ -6,7 +6,7 @@
 
 /// The load of one guard, with counts since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct GuardLoad {
     /// Calls in flight at the backend server.
     pub running: usize,
     /// Calls that wait.
@@ -20,7 +20,7 @@
     /// The level below which calls are refused at the source.
     pub level: Level,
     /// The level that services further down demand.
-    pub below: Level,
+    pub downstream: Level,
     /// Mean time of an answer.
     pub latency: Duration,
     /// Calls a second that the backend server takes, if it named a rate.
--- a/src/policy/admission/queue.rs
+++ b/src/policy/admission/queue.rs
@@ -8,13 +8,13 @@
 
 /// Names a call within one guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct CallToken(pub u64);
 
 /// A call that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedCall {
     /// The name of the call.
-    pub token: Token,
+    pub token: CallToken,
     /// Its place in the order of admission.
     pub priority: Priority,
     /// The workspace that it is for, if known.
@@ -25,7 +25,7 @@
     pub expires: Instant,
     /// Whether it waits for the rate that the backend server named; it is
     /// better off elsewhere if not.
-    pub waits: bool,
+    pub may_wait: bool,
 }
 
 /// Orders by priority, then newest first.
@@ -34,8 +34,8 @@
 /// A queue that gives the most important call first and, among equals, the newest.
 #[derive(Debug, Default)]
 pub struct Queue {
-    calls: BTreeMap<Key, Waiting>,
-    keys: HashMap<Token, Key>,
+    calls: BTreeMap<Key, QueuedCall>,
+    keys: HashMap<CallToken, Key>,
     sequence: u64,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// Adds a call.
-    pub fn push(&mut self, call: Waiting) {
+    pub fn push(&mut self, call: QueuedCall) {
         self.sequence += 1;
         let key = (call.priority, self.sequence);
         self.calls.insert(key, call);
@@ -59,43 +59,43 @@
     }
 
     /// Returns the most important call.
-    pub fn first(&self) -> Option<&Waiting> {
+    pub fn first(&self) -> Option<&QueuedCall> {
         self.calls.values().next_back()
     }
 
     /// Takes the most important call.
-    pub fn pop_first(&mut self) -> Option<Waiting> {
+    pub fn pop_first(&mut self) -> Option<QueuedCall> {
         let (_, call) = self.calls.pop_last()?;
         self.keys.remove(&call.token);
         Some(call)
     }
 
     /// Takes the least important call.
-    pub fn pop_least(&mut self) -> Option<Waiting> {
+    pub fn pop_least(&mut self) -> Option<QueuedCall> {
         let (_, call) = self.calls.pop_first()?;
         self.keys.remove(&call.token);
         Some(call)
     }
 
     /// Returns the least important call.
-    pub fn least(&self) -> Option<&Waiting> {
+    pub fn least(&self) -> Option<&QueuedCall> {
         self.calls.values().next()
     }
 
     /// Returns the number of calls that go before a new one of `priority`.
-    pub fn ahead(&self, priority: Priority) -> usize {
+    pub fn count_ahead(&self, priority: Priority) -> usize {
         self.calls.range((priority, u64::MAX)..).count()
     }
 
     /// Takes out the call named `token`.
-    pub fn remove(&mut self, token: Token) -> Option<Waiting> {
+    pub fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         let key = self.keys.remove(&token)?;
         self.calls.remove(&key)
     }
 
     /// Takes out all calls whose wait has ended.
-    pub fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
-        let expired: Vec<Token> = self
+    pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
+        let expired: Vec<CallToken> = self
             .calls
             .values()
             .filter(|call| call.expires <= now)
@@ -108,7 +108,7 @@
     }
 
     /// Takes out all calls.
-    pub fn drain(&mut self) -> Vec<Waiting> {
+    pub fn drain(&mut self) -> Vec<QueuedCall> {
         self.keys.clear();
         std::mem::take(&mut self.calls).into_values().collect()
     }
--- a/src/policy/admission/limited.rs
+++ b/src/policy/admission/rate_limited.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{Admission, Decision, Event, Shed, Waiting};
+use super::{Admission, Decision, Event, QueuedCall, Shed};
 use crate::model::{NamedRate, Rate};
 
 /// Part of the time left that a call may wait whose class is not protected:
@@ -29,8 +29,8 @@
 impl Admission {
     /// Takes what an answer to a call says that was sent at `sent`; returns
     /// whether that changes the rate.
-    pub fn hear_rate(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
-        self.throttle.hear(now, sent, rate)
+    pub fn record_rate(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
+        self.throttle.record(now, sent, rate)
     }
 
     /// Takes a rate that another daemon heard of; returns whether it is news.
@@ -50,7 +50,7 @@
     }
 
     /// Returns how long a call of the least importance waits for the rate.
-    pub fn room(&self, now: Instant) -> Duration {
+    pub fn rate_wait(&self, now: Instant) -> Duration {
         match self.throttle.rate() {
             Some(_) => self.throttle.wait(now, self.queue.len()),
             None => Duration::ZERO,
@@ -58,8 +58,8 @@
     }
 
     /// Returns when a caller may come back that the rate left no room for.
-    pub fn return_after<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
-        self.room(now).mul_f64(rng.random_range(RETURN))
+    pub fn rate_retry_after<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
+        self.rate_wait(now).mul_f64(rng.random_range(RETURN))
     }
 
     /// Tells whether the rate lets no call start now.
@@ -80,30 +80,30 @@
     pub(super) fn enqueue_limited(
         &mut self,
         now: Instant,
-        call: Waiting,
+        call: QueuedCall,
         events: &mut Vec<Event>,
     ) -> Decision {
         let latest = self.latest_start(now, &call);
-        let ahead = self.queue.ahead(call.priority);
+        let ahead = self.queue.count_ahead(call.priority);
         let is_full = self.queue.len() >= self.limit.get() * MOST_WAITING;
         if is_full || now + self.throttle.wait(now, ahead) > latest {
-            self.threshold.shed();
+            self.threshold.record_shed();
             return Decision::Shed(Shed::Limited);
         }
         let expires = latest;
-        self.queue.push(now, Waiting { expires, ..call });
+        self.queue.push(now, QueuedCall { expires, ..call });
         loop {
             let last = now + self.throttle.wait(now, self.queue.len().saturating_sub(1));
             let Some(late) = self.queue.pop_late(|call| last > call.expires) else {
                 return Decision::Wait(latest);
             };
-            self.threshold.shed();
+            self.threshold.record_shed();
             events.push(Event::Shed(late.token, Shed::Limited));
         }
     }
 
     /// Returns until when a call may wait.
-    fn latest_start(&self, now: Instant, call: &Waiting) -> Instant {
+    fn latest_start(&self, now: Instant, call: &QueuedCall) -> Instant {
         let left = call.deadline.saturating_duration_since(now);
         let spare = left.saturating_sub(self.need());
         if self.is_protected(call.priority) {
--- a/src/policy/admission/told.rs
+++ b/src/policy/admission/report.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{Admission, Load};
+use super::{Admission, GuardLoad};
 use crate::model::{Demand, GuardNews};
 
 /// Mean of the spread of `Retry-After` at no excess.
@@ -20,16 +20,16 @@
     }
 
     /// Returns the load, and counts of calls since the last report.
-    pub fn report(&mut self, now: Instant) -> Load {
-        let (below, _) = self.chain.highest(now);
-        Load {
+    pub fn report(&mut self, now: Instant) -> GuardLoad {
+        let (downstream, _) = self.chain.highest(now);
+        GuardLoad {
             running: self.running.len(),
             waiting: self.queue.len(),
             limit: self.limit.get(),
             started: std::mem::take(&mut self.started),
             shed: std::mem::take(&mut self.shed),
             level: self.threshold.level(),
-            below,
+            downstream,
             latency: self.limit.latency().unwrap_or_default(),
             rate: self.throttle.rate(),
         }
@@ -51,7 +51,7 @@
     }
 
     /// Returns what answers carry of this guard.
-    pub fn news(&self, now: Instant) -> GuardNews {
+    pub fn status(&self, now: Instant) -> GuardNews {
         let (below, classes) = self.chain.highest(now);
         let load = self.running.len() + self.queue.len();
         GuardNews {
@@ -64,7 +64,7 @@
             faults: self.faults.share(),
             leaving: self.leaving,
             told: None,
-            room: self.room(now),
+            room: self.rate_wait(now),
         }
     }
 
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -83,18 +83,18 @@
     }
 
     /// Counts an arrival.
-    pub fn arrived(&mut self, level: Level) {
+    pub fn record_arrival(&mut self, level: Level) {
         *self.arrivals.entry(level.index()).or_default() += 1.0;
         self.arrived += 1;
     }
 
     /// Counts a call that was started.
-    pub fn started(&mut self) {
+    pub fn record_start(&mut self) {
         self.started += 1;
     }
 
     /// Counts a call that was shed for want of capacity.
-    pub fn shed(&mut self) {
+    pub fn record_shed(&mut self) {
         self.shed += 1;
     }
 
--- a/src/policy/admission/throttle.rs
+++ b/src/policy/admission/throttle.rs
@@ -49,7 +49,7 @@
     /// whether that changes the rate.
     ///
     /// What is no rate leaves things as they are.
-    pub fn hear(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
+    pub fn record(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
         self.heard |= rate != NamedRate::Unreadable;
         let is_newer = self.named.is_none_or(|named| sent >= named.heard);
         match (rate, self.rate()) {
--- a/src/policy/admission/spent.rs
+++ b/src/policy/admission/usage_table.rs
@@ -27,18 +27,18 @@
 
 /// What each workspace had of the slots; the greatest only.
 #[derive(Debug, Default)]
-pub struct Spent {
+pub struct UsageTable {
     counts: BTreeMap<Option<WorkspaceId>, Count>,
 }
 
-impl Spent {
+impl UsageTable {
     /// Counts slot time.
-    pub fn charge(&mut self, workspace: Option<WorkspaceId>, time: Duration) {
+    pub fn add_time(&mut self, workspace: Option<WorkspaceId>, time: Duration) {
         self.count(workspace).all.time += time;
     }
 
     /// Counts a call that was shed.
-    pub fn shed(&mut self, workspace: Option<WorkspaceId>) {
+    pub fn count_shed(&mut self, workspace: Option<WorkspaceId>) {
         self.count(workspace).all.shed += 1;
     }
 
@@ -54,13 +54,13 @@
     }
 
     /// Returns the workspaces with most slot time, the greatest first.
-    pub fn greatest(&self) -> Vec<(Option<WorkspaceId>, Usage)> {
+    pub fn top(&self) -> Vec<(Option<WorkspaceId>, Usage)> {
         let all = self.counts.iter().map(|(id, count)| (*id, count.all));
         first_by_time(all.collect())
     }
 
     /// Returns the same of the time since it was last asked.
-    pub fn take_lately(&mut self) -> Vec<(Option<WorkspaceId>, Usage)> {
+    pub fn take_recent(&mut self) -> Vec<(Option<WorkspaceId>, Usage)> {
         let lately = self.counts.iter_mut().map(|(id, count)| {
             let told = std::mem::replace(&mut count.told, count.all);
             let usage = Usage {
--- a/src/policy/admission/line.rs
+++ b/src/policy/admission/wait_queue.rs
@@ -2,19 +2,19 @@
 
 use tokio::time::Instant;
 
-use super::{FairQueue, Outcome, Paid, Queue, Token, Waiting, Weights};
+use super::{CallToken, FairQueue, Outcome, Queue, QueuedCall, SlotCharge, Weights};
 use crate::model::Priority;
 
 /// The calls that wait.
 #[derive(Debug)]
-pub(super) enum Line {
+pub(super) enum WaitQueue {
     /// In the order of importance alone.
     Plain(Queue),
     /// Shared among workspaces.
     Fair(Box<FairQueue>),
 }
 
-impl Line {
+impl WaitQueue {
     pub(super) fn len(&self) -> usize {
         match self {
             Self::Plain(queue) => queue.len(),
@@ -27,9 +27,9 @@
     }
 
     /// Shares from now on by these weights, or no longer.
-    pub(super) fn share(&mut self, now: Instant, weights: Option<Weights>) {
+    pub(super) fn set_weights(&mut self, now: Instant, weights: Option<Weights>) {
         let next = match (&mut *self, weights) {
-            (Self::Fair(queue), Some(weights)) => return queue.reweigh(weights),
+            (Self::Fair(queue), Some(weights)) => return queue.set_weights(weights),
             (Self::Plain(_), None) => return,
             (Self::Plain(_), Some(weights)) => Self::Fair(Box::new(FairQueue::new(now, weights))),
             (Self::Fair(_), None) => Self::Plain(Queue::default()),
@@ -40,24 +40,24 @@
         }
     }
 
-    fn into_calls(mut self) -> Vec<Waiting> {
+    fn into_calls(mut self) -> Vec<QueuedCall> {
         self.drain()
     }
 
-    pub(super) fn arrived(&mut self, now: Instant, call: &Waiting) {
+    pub(super) fn record_arrival(&mut self, now: Instant, call: &QueuedCall) {
         if let Self::Fair(queue) = self {
-            queue.arrived(now, call);
+            queue.record_arrival(now, call);
         }
     }
 
-    pub(super) fn push(&mut self, now: Instant, call: Waiting) {
+    pub(super) fn push(&mut self, now: Instant, call: QueuedCall) {
         match self {
             Self::Plain(queue) => queue.push(call),
             Self::Fair(queue) => queue.push(now, call),
         }
     }
 
-    pub(super) fn pop_first(&mut self) -> Option<Waiting> {
+    pub(super) fn pop_first(&mut self) -> Option<QueuedCall> {
         match self {
             Self::Plain(queue) => queue.pop_first(),
             Self::Fair(queue) => queue.pop_first(),
@@ -66,7 +66,7 @@
 
     /// Takes a call out to make room for another one; `None` if it is the
     /// `arriving` one that there is no room for.
-    pub(super) fn make_room(&mut self, arriving: &Waiting) -> Option<Waiting> {
+    pub(super) fn make_room(&mut self, arriving: &QueuedCall) -> Option<QueuedCall> {
         match self {
             Self::Plain(queue) => match queue.least() {
                 Some(least) if least.priority < arriving.priority => queue.pop_least(),
@@ -78,52 +78,58 @@
 
     /// Returns the number of calls that go before a new one of `priority`; all
     /// where the order is not by priority alone.
-    pub(super) fn ahead(&self, priority: Priority) -> usize {
+    pub(super) fn count_ahead(&self, priority: Priority) -> usize {
         match self {
-            Self::Plain(queue) => queue.ahead(priority),
+            Self::Plain(queue) => queue.count_ahead(priority),
             Self::Fair(queue) => queue.len(),
         }
     }
 
     /// Takes out the least important call if `is_late` says so of it.
-    pub(super) fn pop_late(&mut self, is_late: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    pub(super) fn pop_late(&mut self, is_late: impl Fn(&QueuedCall) -> bool) -> Option<QueuedCall> {
         match self {
             Self::Plain(queue) if queue.least().is_some_and(is_late) => queue.pop_least(),
             Self::Plain(_) | Self::Fair(_) => None,
         }
     }
 
-    pub(super) fn remove(&mut self, token: Token) -> Option<Waiting> {
+    pub(super) fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         match self {
             Self::Plain(queue) => queue.remove(token),
             Self::Fair(queue) => queue.remove(token),
         }
     }
 
-    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
+    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         match self {
             Self::Plain(queue) => queue.take_expired(now),
             Self::Fair(queue) => queue.take_expired(now),
         }
     }
 
-    pub(super) fn drain(&mut self) -> Vec<Waiting> {
+    pub(super) fn drain(&mut self) -> Vec<QueuedCall> {
         match self {
             Self::Plain(queue) => queue.drain(),
             Self::Fair(queue) => queue.drain(),
         }
     }
 
-    pub(super) fn start(&mut self, call: &Waiting) -> Option<Paid> {
+    pub(super) fn charge(&mut self, call: &QueuedCall) -> Option<SlotCharge> {
         match self {
             Self::Plain(_) => None,
-            Self::Fair(queue) => Some(queue.start(call)),
+            Self::Fair(queue) => Some(queue.charge(call)),
         }
     }
 
-    pub(super) fn end(&mut self, now: Instant, paid: Paid, started: Instant, outcome: Outcome) {
+    pub(super) fn settle(
+        &mut self,
+        now: Instant,
+        paid: SlotCharge,
+        started: Instant,
+        outcome: Outcome,
+    ) {
         if let Self::Fair(queue) = self {
-            queue.end(now, paid, started, outcome);
+            queue.settle(now, paid, started, outcome);
         }
     }
 
@@ -134,7 +140,7 @@
     }
 
     /// Returns what is kept of workspaces, where they share.
-    pub(super) fn fair(&mut self) -> Option<&mut FairQueue> {
+    pub(super) fn fair_queue(&mut self) -> Option<&mut FairQueue> {
         match self {
             Self::Plain(_) => None,
             Self::Fair(queue) => Some(queue),
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -10,7 +10,7 @@
 use super::usual::Usual;
 use super::{Ejector, Kind, Pick, Target, TargetState, Took};
 use crate::model::{CentreName, ClassRank, Demand, GuardNews, Instance};
-use crate::policy::admission::Shares;
+use crate::policy::admission::ClassShares;
 use crate::policy::retry::RetryBudget;
 
 /// What a call met at its target.
@@ -38,7 +38,7 @@
     ejector: Ejector,
     retries: RetryBudget,
     /// Which of the callers' own calls make others.
-    onward: Shares,
+    onward: ClassShares,
     /// What calls take, where targets are compared by time.
     usual: Option<Usual>,
 }
@@ -59,7 +59,7 @@
             places: HashMap::new(),
             ejector: Ejector::default(),
             retries: RetryBudget::default(),
-            onward: Shares::default(),
+            onward: ClassShares::default(),
             usual: None,
         }
     }
--- a/src/policy/route/target.rs
+++ b/src/policy/route/target.rs
@@ -6,7 +6,7 @@
 
 use super::Pace;
 use crate::model::{CentreName, Demand, GuardNews, Instance, RankSet, Slots};
-use crate::policy::admission::Heard;
+use crate::policy::admission::LastLevel;
 
 /// How long a guard that was heard from is taken to be within reach. A guard
 /// that stands idle in an estate at work is heard from a few times in this.
@@ -55,8 +55,8 @@
     pub slots: Slots,
     in_flight: u32,
     load: Option<(u32, Instant)>,
-    level: Heard,
-    below: Heard,
+    level: LastLevel,
+    below: LastLevel,
     classes: RankSet,
     /// When there is room below the rate that its server named, if it did.
     room: Option<Instant>,
@@ -75,8 +75,8 @@
             slots,
             in_flight: 0,
             load: None,
-            level: Heard::default(),
-            below: Heard::default(),
+            level: LastLevel::default(),
+            below: LastLevel::default(),
             classes: RankSet::default(),
             room: None,
             rejects: 0.0,
@@ -105,8 +105,8 @@
     /// Takes note of what a guard told with an answer.
     pub fn hear(&mut self, now: Instant, news: GuardNews) {
         self.load = Some((news.load, now));
-        self.level.hear(now, news.demand.level);
-        self.below.hear(now, news.demand.below);
+        self.level.record(now, news.demand.level);
+        self.below.record(now, news.demand.below);
         self.classes = news.demand.classes;
         self.faults = Some((news.faults.share(), now));
         let rate = news.told.and_then(|told| told.rate);
--- a/src/tables/calls.rs
+++ b/src/tables/calls.rs
@@ -9,7 +9,7 @@
 use crate::model::{
     CallId, CallerName, ClassName, Depth, OnceKey, Priority, Retries, RootId, WorkspaceId,
 };
-use crate::policy::admission::Met;
+use crate::policy::admission::OnwardOutcome;
 use crate::policy::retry::Account;
 
 /// What onward calls of a held call need to know of it.
@@ -33,7 +33,7 @@
     pub once: Option<OnceKey>,
     /// The retries of the call and all below it.
     pub account: Mutex<Account>,
-    met: Mutex<Vec<Met>>,
+    met: Mutex<Vec<OnwardOutcome>>,
 }
 
 impl Held {
@@ -54,12 +54,12 @@
     }
 
     /// Takes note of what an onward call met.
-    pub fn met(&self, met: Met) {
+    pub fn met(&self, met: OnwardOutcome) {
         self.met.lock().push(met);
     }
 
     /// Returns what the onward calls met so far.
-    pub fn take_met(&self) -> Vec<Met> {
+    pub fn take_met(&self) -> Vec<OnwardOutcome> {
         std::mem::take(&mut self.met.lock())
     }
 
--- a/src/task/report.rs
+++ b/src/task/report.rs
@@ -32,7 +32,7 @@
                 started = load.started,
                 shed = load.shed,
                 level = load.level.get(),
-                below = load.below.get(),
+                below = load.downstream.get(),
                 latency_ms = load.latency.as_millis() as u64
             });
         }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -6,18 +6,18 @@
 
 use bramleymount::model::{ClassRank, Demand, Depth, Level, Priority, RootId, Slots};
 use bramleymount::policy::admission::{
-    Admission, Backlog, Chain, Decision, Event, Heard, Limit, Met, Outcome, Settings, Shed,
-    Threshold, Token, Waiting,
+    Admission, Backlog, CallToken, ConcurrencyLimit, Decision, DownstreamLevels, Event, LastLevel,
+    OnwardOutcome, Outcome, QueuedCall, Settings, Shed, Threshold,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use tokio::time::Instant;
 
-fn call(token: u64, rank: usize, now: Instant, left: Duration) -> Waiting {
+fn call(token: u64, rank: usize, now: Instant, left: Duration) -> QueuedCall {
     let deadline = now + left;
-    Waiting {
-        token: Token(token),
+    QueuedCall {
+        token: CallToken(token),
         priority: Priority::new(
             ClassRank::new(rank),
             Depth::new(0),
@@ -26,7 +26,7 @@
         workspace: None,
         deadline,
         expires: deadline,
-        waits: true,
+        may_wait: true,
     }
 }
 
@@ -47,8 +47,8 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut now = Instant::now();
         let mut guard = guard(now, 8);
-        let mut waiting: Vec<(Token, usize, u64)> = Vec::new();
-        let mut running: Vec<Token> = Vec::new();
+        let mut waiting: Vec<(CallToken, usize, u64)> = Vec::new();
+        let mut running: Vec<CallToken> = Vec::new();
         let mut lesser_started = 0;
         for step in 1..3000u64 {
             now += Duration::from_micros(rng.random_range(1..1500));
@@ -57,10 +57,10 @@
             if rng.random_bool(0.7) {
                 let left = Duration::from_millis(rng.random_range(50..500));
                 let (decision, more) = guard.arrive(now, call(step, rank, now, left));
-                waiting.push((Token(step), rank, step));
+                waiting.push((CallToken(step), rank, step));
                 match decision {
-                    Decision::Start => events.push(Event::Start(Token(step))),
-                    Decision::Shed(shed) => events.push(Event::Shed(Token(step), shed)),
+                    Decision::Start => events.push(Event::Start(CallToken(step))),
+                    Decision::Shed(shed) => events.push(Event::Shed(CallToken(step), shed)),
                     Decision::Wait(_) => {}
                 }
                 events.extend(more);
@@ -111,7 +111,10 @@
     guard.arrive(now, call(1, 0, now, second));
     let waits = guard.arrive(now, call(2, 0, now, second)).0;
     assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
-    assert_eq!(guard.leave(), vec![Event::Shed(Token(2), Shed::Leaving)]);
+    assert_eq!(
+        guard.leave(),
+        vec![Event::Shed(CallToken(2), Shed::Leaving)]
+    );
     assert_eq!(
         guard.arrive(now, call(3, 0, now, second)).0,
         Decision::Shed(Shed::Leaving)
@@ -120,7 +123,7 @@
 
 #[test]
 fn limit_follows_a_change_of_slots() {
-    let mut limit = Limit::warm(Slots::new(1));
+    let mut limit = ConcurrencyLimit::warm(Slots::new(1));
     limit.resize(Slots::new(75));
     assert_eq!(limit.get(), 75);
     limit.resize(Slots::new(20));
@@ -130,7 +133,7 @@
 #[test]
 fn limit_falls_to_what_was_in_flight() {
     let now = Instant::now();
-    let mut limit = Limit::warm(Slots::new(100));
+    let mut limit = ConcurrencyLimit::warm(Slots::new(100));
     limit.record(now, Outcome::Refused, Duration::from_millis(1), 31);
     assert_eq!(limit.get(), 30);
 }
@@ -144,12 +147,12 @@
         for _ in 0..arrivals {
             let level = Level::new(ClassRank::new(2), rng.random());
             if level >= threshold.level() {
-                threshold.arrived(level);
+                threshold.record_arrival(level);
             }
         }
-        (0..25).for_each(|_| threshold.started());
+        (0..25).for_each(|_| threshold.record_start());
         if shed {
-            threshold.shed();
+            threshold.record_shed();
         }
         now += Duration::from_millis(60);
         threshold.tick(
@@ -177,9 +180,9 @@
 #[case::old(10_000, false, false)]
 fn heard_ages(#[case] ms: u64, #[case] protected: bool, #[case] refuses: bool) {
     let now = Instant::now();
-    let mut heard = Heard::default();
+    let mut heard = LastLevel::default();
     let level = Level::new(ClassRank::new(1), 0);
-    heard.hear(now, level);
+    heard.record(now, level);
     let later = heard.level(now + Duration::from_millis(ms), protected);
     assert_eq!(Level::new(ClassRank::new(2), 0) < later, refuses);
 }
@@ -189,11 +192,11 @@
 #[test]
 fn chain_spares_a_class_that_seldom_calls() {
     let now = Instant::now();
-    let mut chain = Chain::default();
+    let mut chain = DownstreamLevels::default();
     let upload = ClassRank::new(1);
     let alert = ClassRank::new(0);
     let level = Level::new(alert, u16::MAX / 2);
-    let refused = [Met {
+    let refused = [OnwardOutcome {
         service: "abonnent".parse().expect("a name"),
         demand: Demand {
             level,
@@ -203,10 +206,10 @@
         failed: true,
     }];
     for turn in 0..500 {
-        chain.hear(now, alert, &refused, false);
+        chain.record(now, alert, &refused, false);
         let orphan = turn % 50 == 0;
-        let met: &[Met] = if orphan { &refused } else { &[] };
-        chain.hear(now, upload, met, !orphan);
+        let met: &[OnwardOutcome] = if orphan { &refused } else { &[] };
+        chain.record(now, upload, met, !orphan);
     }
     assert_eq!(chain.level(now, alert, false), level);
     assert_eq!(chain.level(now, upload, false), Level::OPEN);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use bramleymount::model::Slots;
-use bramleymount::policy::admission::{Limit, Outcome};
+use bramleymount::policy::admission::{ConcurrencyLimit, Outcome};
 use tokio::time::Instant;
 
 const SLOTS: u32 = 72;
 const WORK: Duration = Duration::from_millis(440);
 
 /// Calls answered within `time` of a cold server that always has work.
-fn served(limit: &mut Limit, time: Duration) -> usize {
+fn served(limit: &mut ConcurrencyLimit, time: Duration) -> usize {
     let start = Instant::now();
     let mut running: Vec<Duration> = Vec::new();
     let mut done = 0;
@@ -40,7 +40,7 @@
 
 #[test]
 fn cold_limit_serves_most_of_what_is_possible_in_the_first_second() {
-    let mut limit = Limit::cold(Slots::new(SLOTS));
+    let mut limit = ConcurrencyLimit::cold(Slots::new(SLOTS));
     let second = Duration::from_millis(900);
     // Two rounds of 440 ms fit; all slots would give 144.
     assert!(served(&mut limit, second) >= 100);
@@ -48,7 +48,7 @@
 
 #[test]
 fn cold_limit_falls_to_what_the_server_bears() {
-    let mut limit = Limit::cold(Slots::new(SLOTS));
+    let mut limit = ConcurrencyLimit::cold(Slots::new(SLOTS));
     limit.record(Instant::now(), Outcome::Refused, WORK, 20);
     assert_eq!(limit.get(), 19);
 }
--- a/tests/fair_share/load.rs
+++ b/tests/fair_share/load.rs
@@ -6,7 +6,7 @@
 
 use bramleymount::model::{ClassRank, Depth, Priority, RootId, Slots, WorkspaceId};
 use bramleymount::policy::admission::{
-    Admission, Decision, Event, Outcome, Settings, Token, Waiting, Weights,
+    Admission, CallToken, Decision, Event, Outcome, QueuedCall, Settings, Weights,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Next {
     Arrives(usize),
-    Ends(Token),
+    Ends(CallToken),
 }
 
 struct Work {
@@ -75,7 +75,7 @@
     rng: StdRng,
     askers: Vec<Asker>,
     agenda: BinaryHeap<Reverse<(Instant, Next)>>,
-    work: HashMap<Token, Work>,
+    work: HashMap<CallToken, Work>,
     calls: u64,
 }
 
@@ -89,7 +89,7 @@
             protected: None,
         };
         let mut admission = Admission::new(now, settings);
-        admission.share(now, weights);
+        admission.set_weights(now, weights);
         Self {
             admission,
             now,
@@ -148,15 +148,15 @@
         self.calls += 1;
         self.got[place].asked += 1;
         let asker = self.askers[place];
-        let token = Token(self.calls);
+        let token = CallToken(self.calls);
         let root = RootId::new(self.rng.random());
-        let call = Waiting {
+        let call = QueuedCall {
             token,
             priority: Priority::new(ClassRank::new(asker.rank), Depth::new(3), root),
             workspace: asker.id,
             deadline: self.now + PATIENCE,
             expires: self.now + PATIENCE,
-            waits: true,
+            may_wait: true,
         };
         let work = Work {
             place,
@@ -183,7 +183,7 @@
         }
     }
 
-    fn start(&mut self, token: Token) {
+    fn start(&mut self, token: CallToken) {
         let Some(work) = self.work.get_mut(&token) else {
             return;
         };
@@ -195,7 +195,7 @@
         self.agenda.push(Reverse((end, Next::Ends(token))));
     }
 
-    fn end(&mut self, token: Token) {
+    fn end(&mut self, token: CallToken) {
         if let Some(work) = self.work.remove(&token) {
             if let Some(got) = self.got.get_mut(work.place) {
                 got.time += self.now.saturating_duration_since(work.started);
--- a/tests/fair_share/main.rs
+++ b/tests/fair_share/main.rs
@@ -18,7 +18,7 @@
     ClassRank, Depth, Priority, Rate, RootId, Slots, WorkspaceId, WorkspaceName,
 };
 use bramleymount::policy::admission::{
-    Admission, FairQueue, Outcome, Queue, Settings, Token, Waiting, Weights,
+    Admission, CallToken, FairQueue, Outcome, Queue, QueuedCall, Settings, Weights,
 };
 use load::{Asker, Got, Guard, SLOTS};
 use rand::rngs::StdRng;
@@ -207,24 +207,24 @@
         let askers = (first..first + 100).map(|id| Asker::new(id, 10.0, SHORT_MS));
         guard.play(&askers.collect::<Vec<_>>(), SURGE);
     }
-    let accounts = guard.admission.fair().map(|fair| fair.accounts());
+    let accounts = guard.admission.fair_queue().map(|fair| fair.accounts());
     assert!(
         accounts.is_some_and(|accounts| accounts <= 200),
         "{accounts:?}"
     );
 }
 
-fn waiting(rng: &mut StdRng, token: u64, now: Instant) -> Waiting {
+fn waiting(rng: &mut StdRng, token: u64, now: Instant) -> QueuedCall {
     let rank = ClassRank::new(rng.random_range(0..4));
     let depth = Depth::new(rng.random_range(0..4));
     let deadline = now + Duration::from_millis(rng.random_range(1..400));
-    Waiting {
-        token: Token(token),
+    QueuedCall {
+        token: CallToken(token),
         priority: Priority::new(rank, depth, RootId::new(rng.random())),
         workspace: None,
         deadline,
         expires: deadline,
-        waits: true,
+        may_wait: true,
     }
 }
 
@@ -246,12 +246,12 @@
                         Some(least) if least.priority < call.priority => plain.pop_least(),
                         _ => None,
                     };
-                    fair.arrived(now, &call);
+                    fair.record_arrival(now, &call);
                     assert_eq!(evicted, fair.make_room(&call));
                 }
                 _ => {
                     plain.push(call);
-                    fair.arrived(now, &call);
+                    fair.record_arrival(now, &call);
                     fair.push(now, call);
                 }
             }
@@ -272,20 +272,20 @@
         };
         let mut guards = [false, true, false].map(|shares| {
             let mut guard = Admission::new(now, settings);
-            guard.share(now, shares.then(Weights::default));
+            guard.set_weights(now, shares.then(Weights::default));
             guard
         });
         for token in 0..3000 {
             now += Duration::from_micros(rng.random_range(1..1500));
             let call = waiting(&mut rng, token, now);
-            let named = Waiting {
+            let named = QueuedCall {
                 workspace: WorkspaceId::from_raw(rng.random_range(0..5)),
                 ..call
             };
-            let ended = Token(rng.random_range(token.saturating_sub(40)..=token));
+            let ended = CallToken(rng.random_range(token.saturating_sub(40)..=token));
             let does = rng.random_range(0..10);
             let [plain, fair, ignores] = &mut guards;
-            let each = |guard: &mut Admission, call: Waiting| match does {
+            let each = |guard: &mut Admission, call: QueuedCall| match does {
                 0..7 => format!("{:?}", guard.arrive(now, call)),
                 7 => format!("{:?}", guard.expire(now)),
                 _ => format!("{:?}", guard.finish(now, ended, Outcome::Answered)),
--- a/tests/fill.rs
+++ b/tests/fill.rs
@@ -9,7 +9,7 @@
 #![allow(missing_docs)]
 
 use bramleymount::model::Slots;
-use bramleymount::policy::admission::usable;
+use bramleymount::policy::admission::usable_slots;
 use rstest::rstest;
 
 const WORK_MS: f64 = 55.0;
@@ -32,18 +32,18 @@
 #[case::other_site(27)]
 #[case::large(244)]
 fn usable_serves_more_past_the_knee(#[case] slots: u32) {
-    let used = usable(Slots::new(slots)).get();
+    let used = usable_slots(Slots::new(slots)).get();
     let all = capacity(slots, slots, SLOWER);
     assert!(capacity(slots, used, SLOWER) > all * 1.15);
 }
 
 #[rstest]
 fn usable_costs_little_without_a_knee(#[values(17, 27, 29, 72, 119, 273)] slots: u32) {
-    let used = usable(Slots::new(slots)).get();
+    let used = usable_slots(Slots::new(slots)).get();
     assert!(capacity(slots, used, 1.0) > capacity(slots, slots, 1.0) * 0.92);
 }
 
 #[rstest]
 fn usable_keeps_all_of_few(#[values(1, 2, 16)] slots: u32) {
-    assert_eq!(usable(Slots::new(slots)), Slots::new(slots));
+    assert_eq!(usable_slots(Slots::new(slots)), Slots::new(slots));
 }
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -16,7 +16,7 @@
 use bramleymount::model::{
     CentreName, ClassRank, Demand, Depth, Instance, Level, Priority, RootId, Slots, StartStamp,
 };
-use bramleymount::policy::admission::{Chain, Met};
+use bramleymount::policy::admission::{DownstreamLevels, OnwardOutcome};
 use bramleymount::policy::front::{
     CUT_OFF, Front, Options, Outlook, RefusedCaller, RetryDetector, Trend, backoff, boosted,
     is_cut_off,
@@ -303,15 +303,15 @@
 }
 
 /// Returns a chain that heard of a call which did not reach its service.
-fn chain_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> Chain {
-    let mut chain = Chain::default();
-    let met = Met {
+fn chain_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> DownstreamLevels {
+    let mut chain = DownstreamLevels::default();
+    let met = OnwardOutcome {
         service: "last".parse().expect("a name"),
         demand,
         refused,
         failed: true,
     };
-    chain.hear(now, rank, &[met], false);
+    chain.record(now, rank, &[met], false);
     chain
 }
 
--- a/tests/front/world.rs
+++ b/tests/front/world.rs
@@ -5,7 +5,7 @@
 
 use bramleymount::model::{ClassRank, Depth, Level, Priority, RootId, Slots};
 use bramleymount::policy::admission::{
-    Admission, Decision, Event, Outcome, Settings, Token, Waiting,
+    Admission, CallToken, Decision, Event, Outcome, QueuedCall, Settings,
 };
 use bramleymount::policy::front::{
     Options, Outlook, RefusedCaller, RetryDetector, backoff, boosted,
@@ -89,8 +89,8 @@
     level: Level,
     detector: RetryDetector,
     outlook: Outlook,
-    calls: HashMap<Token, Tree>,
-    running: Vec<(u64, Token)>,
+    calls: HashMap<CallToken, Tree>,
+    running: Vec<(u64, CallToken)>,
     returns: Vec<(u64, Caller)>,
     next: u64,
     tallies: [Tally; 2],
@@ -143,7 +143,7 @@
             let events = self.admission.expire(self.at(now));
             self.take(now, events);
             if now % NEWS_MS == 0 {
-                self.level = self.admission.news(self.at(now)).demand.level;
+                self.level = self.admission.status(self.at(now)).demand.level;
             }
             let expected = (self.demand)(now) * CAPACITY / 1000.0;
             if self.rng.random_bool(expected.min(1.0)) {
@@ -226,16 +226,16 @@
             return self.fail(now, tree);
         }
         self.next += 1;
-        let token = Token(self.next);
+        let token = CallToken(self.next);
         self.calls.insert(token, tree);
         let deadline = self.at(tree.until);
-        let call = Waiting {
+        let call = QueuedCall {
             token,
             priority,
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         let (decision, events) = self.admission.arrive(self.at(now), call);
         match decision {
@@ -255,7 +255,7 @@
         }
     }
 
-    fn shed(&mut self, now: u64, token: Token) {
+    fn shed(&mut self, now: u64, token: CallToken) {
         if let Some(tree) = self.calls.remove(&token) {
             self.fail(now, tree);
         }
@@ -278,7 +278,7 @@
         let all = std::mem::take(&mut self.running);
         let (ended, running) = all.into_iter().partition(|(end, _)| *end <= now);
         self.running = running;
-        let ended: Vec<(u64, Token)> = ended;
+        let ended: Vec<(u64, CallToken)> = ended;
         for (_, token) in ended {
             let events = self
                 .admission
--- a/tests/limited_admission.rs
+++ b/tests/limited_admission.rs
@@ -12,7 +12,7 @@
 
 use bramleymount::model::{ClassRank, Depth, Level, NamedRate, Priority, Rate, RootId, Slots};
 use bramleymount::policy::admission::{
-    Admission, Decision, Event, Outcome, Settings, Shed, Token, Waiting,
+    Admission, CallToken, Decision, Event, Outcome, QueuedCall, Settings, Shed,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -21,15 +21,15 @@
 
 const LEFT: Duration = Duration::from_secs(6);
 
-fn call(token: u64, rank: usize, now: Instant) -> Waiting {
+fn call(token: u64, rank: usize, now: Instant) -> QueuedCall {
     let root = RootId::new(u128::from(token));
-    Waiting {
-        token: Token(token),
+    QueuedCall {
+        token: CallToken(token),
         priority: Priority::new(ClassRank::new(rank), Depth::new(0), root),
         workspace: None,
         deadline: now + LEFT,
         expires: now + LEFT,
-        waits: true,
+        may_wait: true,
     }
 }
 
@@ -42,7 +42,7 @@
     };
     let mut guard = Admission::new(now, settings);
     let rate = NamedRate::Some(Rate::per_second(10.0));
-    assert!(guard.hear_rate(now, now, rate));
+    assert!(guard.record_rate(now, now, rate));
     guard
 }
 
@@ -59,7 +59,7 @@
     let mut order = started(&events);
     let mut ended = 0;
     while let Some(token) = order.get(ended) {
-        let events = guard.finish(now, Token(*token), Outcome::Answered);
+        let events = guard.finish(now, CallToken(*token), Outcome::Answered);
         order.extend(started(&events));
         ended += 1;
     }
@@ -67,7 +67,7 @@
 }
 
 /// Lets a call arrive, ended at once if it starts.
-fn arrive(guard: &mut Admission, now: Instant, call: Waiting) {
+fn arrive(guard: &mut Admission, now: Instant, call: QueuedCall) {
     let (decision, mut events) = guard.arrive(now, call);
     if decision == Decision::Start {
         events.push(Event::Start(call.token));
@@ -95,8 +95,8 @@
     let now = Instant::now();
     let mut guard = limited(now);
     for token in 0..200 {
-        let call = Waiting {
-            waits: false,
+        let call = QueuedCall {
+            may_wait: false,
             ..call(token, 1, now)
         };
         let (decision, events) = guard.arrive(now, call);
@@ -107,7 +107,7 @@
     let later = now + Duration::from_secs(1);
     let (decision, _) = guard.arrive(later, call(200, 1, later));
     assert_eq!(decision, Decision::Start);
-    assert_eq!(guard.news(later).demand.level.get(), 0);
+    assert_eq!(guard.status(later).demand.level.get(), 0);
 }
 
 #[test]
@@ -148,7 +148,7 @@
         (most - 1..=most).contains(&(waiting - given_up)),
         "{waiting} {given_up}"
     );
-    let wait = guard.return_after(now, &mut SmallRng::seed_from_u64(1));
+    let wait = guard.rate_retry_after(now, &mut SmallRng::seed_from_u64(1));
     let true_wait = Duration::from_millis(100) * most as u32;
     assert!(wait >= true_wait.mul_f64(0.9), "{wait:?}");
     assert!(wait <= true_wait.mul_f64(1.6), "{wait:?}");
@@ -171,7 +171,7 @@
     assert!(
         given_up
             .iter()
-            .all(|event| matches!(event, Event::Shed(Token(0..10), Shed::Limited)))
+            .all(|event| matches!(event, Event::Shed(CallToken(0..10), Shed::Limited)))
     );
 }
 
@@ -185,7 +185,7 @@
         now += Duration::from_millis(10);
         arrive(&mut guard, now, call(token, 1, now));
     }
-    let level = guard.news(now).demand.level;
+    let level = guard.status(now).demand.level;
     assert_eq!(level.rank(), ClassRank::new(1), "{level}");
 }
 
@@ -197,7 +197,7 @@
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
     guard.forget(Slots::new(119));
     assert_eq!(started(&guard.expire(now)), [1]);
-    assert_eq!(guard.room(now), Duration::ZERO);
+    assert_eq!(guard.rate_wait(now), Duration::ZERO);
 }
 
 /// A rate below what two classes ask for together and above what the higher one
@@ -211,7 +211,7 @@
         now += Duration::from_millis(25);
         let rank = if token % 6 == 0 { 0 } else { 2 };
         arrive(&mut guard, now, call(token, rank, now));
-        let level = guard.news(now).demand.level;
+        let level = guard.status(now).demand.level;
         assert!(level <= first, "{level} at call {token}");
     }
 }
--- a/tests/limited_trees.rs
+++ b/tests/limited_trees.rs
@@ -15,7 +15,7 @@
     StartStamp, Told,
 };
 use bramleymount::policy::admission::{
-    Admission, Decision, Event, Met, Outcome, Settings, Shed, Token, Waiting,
+    Admission, CallToken, Decision, Event, OnwardOutcome, Outcome, QueuedCall, Settings, Shed,
 };
 use bramleymount::policy::route::{Report, Table, Target};
 use tokio::time::Instant;
@@ -26,15 +26,15 @@
 /// Between two calls to the last service.
 const GAP: Duration = Duration::from_millis(10);
 
-fn call(token: u64, rank: usize, now: Instant) -> Waiting {
+fn call(token: u64, rank: usize, now: Instant) -> QueuedCall {
     let root = RootId::new(u128::from(token));
-    Waiting {
-        token: Token(token),
+    QueuedCall {
+        token: CallToken(token),
         priority: Priority::new(ClassRank::new(rank), Depth::new(0), root),
         workspace: None,
         deadline: now + LEFT,
         expires: now + LEFT,
-        waits: true,
+        may_wait: true,
     }
 }
 
@@ -52,12 +52,12 @@
 fn overrun(now: &mut Instant) -> GuardNews {
     let mut deep = guard(*now);
     let rate = Rate::per_second(10.0);
-    deep.hear_rate(*now, *now, NamedRate::Some(rate));
+    deep.record_rate(*now, *now, NamedRate::Some(rate));
     for token in 0..300 {
         *now += GAP;
         let (decision, mut events) = deep.arrive(*now, call(token, LOW, *now));
         if decision == Decision::Start {
-            events.push(Event::Start(Token(token)));
+            events.push(Event::Start(CallToken(token)));
         }
         events.extend(deep.expire(*now));
         for event in events {
@@ -73,7 +73,7 @@
             rate: Some(rate),
             leaving: false,
         }),
-        ..deep.news(*now)
+        ..deep.status(*now)
     }
 }
 
@@ -107,20 +107,20 @@
         if decision != Decision::Start {
             continue;
         }
-        let met = Met {
+        let met = OnwardOutcome {
             service: "last".parse().expect("a name"),
             demand,
             refused: true,
             failed: true,
         };
-        above.met_below(now, Token(token), &[met], false);
-        above.finish(now, Token(token), Outcome::Failed);
+        above.record_onward(now, CallToken(token), &[met], false);
+        above.finish(now, CallToken(token), Outcome::Failed);
     }
     let calls = 100..200;
     let decide = |above: &mut Admission, rank| {
         let refused = calls.clone().filter(|token| {
             let (decision, _) = above.arrive(now, call(*token, rank, now));
-            above.finish(now, Token(*token), Outcome::Answered);
+            above.finish(now, CallToken(*token), Outcome::Answered);
             decision == Decision::Shed(Shed::Downstream)
         });
         refused.count()
--- a/tests/single_calls.rs
+++ b/tests/single_calls.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 
 use bramleymount::model::{ClassRank, Depth, Level, Priority, RootId, Slots};
-use bramleymount::policy::admission::{Admission, Decision, Event, Settings, Token, Waiting};
+use bramleymount::policy::admission::{
+    Admission, CallToken, Decision, Event, QueuedCall, Settings,
+};
 use bramleymount::policy::route::Table;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -40,8 +42,8 @@
     admission: Admission,
     start: Instant,
     rng: StdRng,
-    work: HashMap<Token, Work>,
-    running: Vec<(u64, Token)>,
+    work: HashMap<CallToken, Work>,
+    running: Vec<(u64, CallToken)>,
     next: u64,
     marked: bool,
     served: u32,
@@ -88,16 +90,16 @@
             Work::Read { root, .. } => (Priority::new(rank, Depth::new(3), root), 700),
         };
         self.next += 1;
-        let token = Token(self.next);
+        let token = CallToken(self.next);
         self.work.insert(token, work);
         let deadline = self.at(now + time);
-        let call = Waiting {
+        let call = QueuedCall {
             token,
             priority,
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         let (decision, events) = self.admission.arrive(self.at(now), call);
         match decision {
@@ -117,7 +119,7 @@
         }
     }
 
-    fn begin(&mut self, now: u64, token: Token) {
+    fn begin(&mut self, now: u64, token: CallToken) {
         let time = match self.work[&token] {
             Work::Single { .. } => SINGLE_MS,
             Work::Read { .. } => READ_MS,
@@ -128,7 +130,7 @@
     fn finish(&mut self, now: u64) {
         let (ended, running) = self.running.iter().partition(|(end, _)| *end <= now);
         self.running = running;
-        let ended: Vec<(u64, Token)> = ended;
+        let ended: Vec<(u64, CallToken)> = ended;
         for (_, token) in ended {
             let outcome = bramleymount::policy::admission::Outcome::Answered;
             let events = self.admission.finish(self.at(now), token, outcome);
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -56,7 +56,7 @@
 fn start_keeps_any_window_within_the_rate(#[case] rate: f64) {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    assert!(throttle.hear(now, now, named(rate)));
+    assert!(throttle.record(now, now, named(rate)));
     let starts = greedy(&mut throttle, now, WINDOW * 4);
     let allowed = 1.5 * rate * WINDOW.as_secs_f64() + 5.0;
     assert!(most(&starts) as f64 <= allowed, "{}", most(&starts));
@@ -69,7 +69,7 @@
     let mut rng = SmallRng::seed_from_u64(3);
     let mut throttle = Throttle::default();
     let mut now = Instant::now();
-    throttle.hear(now, now, named(12.0));
+    throttle.record(now, now, named(12.0));
     let mut starts = Vec::new();
     for _ in 0..40 {
         now += Duration::from_millis(rng.random_range(0..3000));
@@ -84,7 +84,7 @@
 fn hear_gives_no_credit_at_first() {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    throttle.hear(now, now, named(40.0));
+    throttle.record(now, now, named(40.0));
     assert!(!throttle.is_open(now));
 }
 
@@ -93,8 +93,8 @@
     let mut throttle = Throttle::default();
     let now = Instant::now();
     let earlier = now - Duration::from_secs(1);
-    throttle.hear(now, now, named(20.0));
-    assert!(throttle.hear(now, earlier, named(5.0)));
+    throttle.record(now, now, named(20.0));
+    assert!(throttle.record(now, earlier, named(5.0)));
     assert_eq!(throttle.rate(), Some(Rate::per_second(5.0)));
 }
 
@@ -106,10 +106,10 @@
     let mut throttle = Throttle::default();
     let sent = Instant::now();
     let heard = sent + Duration::from_secs(1);
-    throttle.hear(heard, sent, named(20.0));
-    assert!(!throttle.hear(heard + STEP, sent + STEP, late));
+    throttle.record(heard, sent, named(20.0));
+    assert!(!throttle.record(heard + STEP, sent + STEP, late));
     assert_eq!(throttle.rate(), Some(Rate::per_second(20.0)));
-    assert!(throttle.hear(heard + STEP * 2, heard, late));
+    assert!(throttle.record(heard + STEP * 2, heard, late));
     assert_ne!(throttle.rate(), Some(Rate::per_second(20.0)));
 }
 
@@ -117,10 +117,10 @@
 fn hear_keeps_the_rate_where_another_is_unreadable() {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    assert!(!throttle.hear(now, now, NamedRate::Unreadable));
+    assert!(!throttle.record(now, now, NamedRate::Unreadable));
     assert_eq!(throttle.rate(), None);
-    throttle.hear(now, now, named(20.0));
-    assert!(!throttle.hear(now + STEP, now + STEP, NamedRate::Unreadable));
+    throttle.record(now, now, named(20.0));
+    assert!(!throttle.record(now + STEP, now + STEP, NamedRate::Unreadable));
     assert_eq!(throttle.rate(), Some(Rate::per_second(20.0)));
 }
 
@@ -133,7 +133,7 @@
     let mut throttle = Throttle::default();
     let now = Instant::now();
     if let Some(heard) = heard {
-        throttle.hear(now, now, heard);
+        throttle.record(now, now, heard);
     }
     throttle.adopt(now, Rate::per_second(8.0));
     assert_eq!(throttle.rate(), expected.map(Rate::per_second));
@@ -143,7 +143,7 @@
 fn forget_ends_with_the_run() {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    throttle.hear(now, now, named(20.0));
+    throttle.record(now, now, named(20.0));
     throttle.forget();
     assert_eq!(throttle.rate(), None);
     assert!(throttle.is_open(now));
@@ -155,6 +155,6 @@
 fn wait_is_what_those_before_take(#[case] ahead: usize, #[case] ms: u64) {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    throttle.hear(now, now, named(10.0));
+    throttle.record(now, now, named(10.0));
     assert_eq!(throttle.wait(now, ahead), Duration::from_millis(ms));
 }
