--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -8,18 +8,19 @@
 use super::wait_queue::WaitQueue;
 use super::{
     Backlog, CallToken, ConcurrencyLimit, Decision, DownstreamLevels, Event, FairQueue, FaultRate,
-    OnwardOutcome, Outcome, Queue, QueuedCall, Shed, SlotCharge, Threshold, Throttle, Weights,
+    OnwardOutcome, Outcome, PriorityQueue, QueuedCall, Shed, SlotCharge, Threshold, Throttle,
+    Weights,
 };
 use crate::model::{ClassRank, Level, Priority, Slots};
 
 /// Longest wait of a call that is not protected.
 const MAX_WAIT: Duration = Duration::from_millis(200);
 /// Time that a full queue takes to be served.
-const QUEUE_TIME: Duration = Duration::from_millis(50);
+const QUEUE_DRAIN_TIME: Duration = Duration::from_millis(50);
 /// Least and greatest length of the queue as a share of the limit.
-const QUEUE_SHARE: std::ops::RangeInclusive<f64> = 0.5..=4.0;
+const QUEUE_RATIO: std::ops::RangeInclusive<f64> = 0.5..=4.0;
 /// Fewest calls that may wait.
-const MIN_QUEUE: usize = 4;
+const MIN_QUEUE_LEN: usize = 4;
 /// What admission needs to know of the service and its rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
@@ -38,20 +39,20 @@
     pub(super) queue: WaitQueue,
     pub(super) threshold: Threshold,
     pub(super) throttle: Throttle,
-    pub(super) chain: DownstreamLevels,
-    pub(super) faults: FaultRate,
+    pub(super) downstream: DownstreamLevels,
+    pub(super) fault_rate: FaultRate,
     protected: Option<ClassRank>,
-    pub(super) running: HashMap<CallToken, Running>,
+    pub(super) running: HashMap<CallToken, RunningCall>,
     pub(super) leaving: bool,
-    pub(super) started: u64,
-    pub(super) shed: u64,
+    pub(super) start_count: u64,
+    pub(super) shed_count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Running {
-    started: Instant,
+pub(super) struct RunningCall {
+    start: Instant,
     level: Level,
-    paid: Option<SlotCharge>,
+    charge: Option<SlotCharge>,
 }
 
 impl Admission {
@@ -64,16 +65,16 @@
         };
         Self {
             limit,
-            queue: WaitQueue::Plain(Queue::default()),
+            queue: WaitQueue::ByPriority(PriorityQueue::default()),
             threshold: Threshold::new(now),
             throttle: Throttle::default(),
-            chain: DownstreamLevels::default(),
-            faults: FaultRate::default(),
+            downstream: DownstreamLevels::default(),
+            fault_rate: FaultRate::default(),
             protected: settings.protected,
             running: HashMap::new(),
             leaving: false,
-            started: 0,
-            shed: 0,
+            start_count: 0,
+            shed_count: 0,
         }
     }
 
@@ -95,19 +96,19 @@
 
     /// Forgets what is known of the backend server, of which another run came.
     pub fn forget(&mut self, slots: Slots) {
-        self.relearn(slots);
+        self.reset_estimates(slots);
         self.throttle.forget();
     }
 
-    fn relearn(&mut self, slots: Slots) {
+    fn reset_estimates(&mut self, slots: Slots) {
         self.limit = ConcurrencyLimit::warm(slots);
-        self.faults = FaultRate::default();
+        self.fault_rate = FaultRate::default();
         self.queue.forget();
     }
 
     /// Starts anew with a cold backend server.
     pub fn restart(&mut self, slots: Slots) {
-        self.relearn(slots);
+        self.reset_estimates(slots);
         self.limit = ConcurrencyLimit::cold(slots);
         self.leaving = false;
     }
@@ -116,7 +117,7 @@
     pub fn arrive(&mut self, now: Instant, call: QueuedCall) -> (Decision, Vec<Event>) {
         let (decision, events) = self.decide(now, call);
         if matches!(decision, Decision::Shed(_)) {
-            self.shed += 1;
+            self.shed_count += 1;
         }
         (decision, events)
     }
@@ -127,16 +128,16 @@
             return (Decision::Shed(Shed::Leaving), events);
         }
         let level = call.priority.level();
-        self.tick(now);
-        if !call.may_wait && self.is_limited(now) {
+        self.update_threshold(now);
+        if !call.may_wait && self.is_rate_limited(now) {
             return (Decision::Shed(Shed::Limited), events);
         }
         self.threshold.record_arrival(level);
-        if self.too_late(now, call.deadline) {
+        if self.misses_deadline(now, call.deadline) {
             return (Decision::Shed(Shed::Deadline), events);
         }
         let protected = self.is_protected(call.priority);
-        if level < self.chain.level(now, level.rank(), protected) {
+        if level < self.downstream.level(now, level.rank(), protected) {
             return (Decision::Shed(Shed::Downstream), events);
         }
         self.queue.record_arrival(now, &call);
@@ -145,15 +146,15 @@
             return (Decision::Start, events);
         }
         let decision = self.enqueue(now, call, &mut events);
-        self.fill(now, &mut events);
+        self.start_queued(now, &mut events);
         (decision, events)
     }
 
     fn enqueue(&mut self, now: Instant, call: QueuedCall, events: &mut Vec<Event>) -> Decision {
-        if self.is_limited(now) {
-            return self.enqueue_limited(now, call, events);
+        if self.is_rate_limited(now) {
+            return self.enqueue_rate_limited(now, call, events);
         }
-        if self.queue.len() >= self.queue_bound() {
+        if self.queue.len() >= self.max_queue_len() {
             self.threshold.record_shed();
             match self.queue.make_room(&call) {
                 Some(least) => events.push(Event::Shed(least.token, Shed::Overload)),
@@ -174,14 +175,14 @@
         let mut events = Vec::new();
         let in_flight = self.running.len();
         if let Some(run) = self.running.remove(&token) {
-            let latency = now.saturating_duration_since(run.started);
+            let latency = now.saturating_duration_since(run.start);
             self.limit.record(now, outcome, latency, in_flight);
-            if let Some(paid) = run.paid {
-                self.queue.settle(now, paid, run.started, outcome);
+            if let Some(charge) = run.charge {
+                self.queue.settle(now, charge, run.start, outcome);
             }
         }
-        self.tick(now);
-        self.fill(now, &mut events);
+        self.update_threshold(now);
+        self.start_queued(now, &mut events);
         events
     }
 
@@ -191,17 +192,18 @@
         &mut self,
         now: Instant,
         token: CallToken,
-        met: &[OnwardOutcome],
+        outcomes: &[OnwardOutcome],
         answered: bool,
     ) {
         if let Some(run) = self.running.get(&token) {
-            self.chain.record(now, run.level.rank(), met, answered);
+            self.downstream
+                .record(now, run.level.rank(), outcomes, answered);
         }
     }
 
     /// Takes note of whether the backend server failed a call by itself.
     pub fn record_fault(&mut self, faulty: bool) {
-        self.faults.record(faulty);
+        self.fault_rate.record(faulty);
     }
 
     /// Takes a waiting call out; a running one goes on until it is finished.
@@ -213,14 +215,14 @@
     pub fn expire(&mut self, now: Instant) -> Vec<Event> {
         let mut events = Vec::new();
         for call in self.queue.take_expired(now) {
-            events.push(Event::Shed(call.token, self.expiry(now, &call)));
+            events.push(Event::Shed(call.token, self.expiry_reason(now, &call)));
         }
-        self.tick(now);
-        self.fill(now, &mut events);
+        self.update_threshold(now);
+        self.start_queued(now, &mut events);
         events
     }
 
-    fn expiry(&mut self, now: Instant, call: &QueuedCall) -> Shed {
+    fn expiry_reason(&mut self, now: Instant, call: &QueuedCall) -> Shed {
         self.threshold.record_shed();
         if call.deadline <= now {
             Shed::Deadline
@@ -246,12 +248,12 @@
         self.leaving = false;
     }
 
-    fn tick(&mut self, now: Instant) {
+    fn update_threshold(&mut self, now: Instant) {
         let backlog = Backlog {
             waiting: self.queue.len(),
-            bound: self.queue_bound(),
+            max_waiting: self.max_queue_len(),
             idle: self.queue.is_empty() && self.may_start(now),
-            limited: self.throttle.rate().is_some(),
+            rate_limited: self.throttle.rate().is_some(),
         };
         self.threshold.tick(now, backlog);
     }
@@ -265,42 +267,46 @@
         self.protected.is_some_and(|rank| priority.rank() <= rank)
     }
 
-    fn queue_bound(&self) -> usize {
-        let latency = self.limit.latency().unwrap_or(QUEUE_TIME).as_secs_f64();
-        let share = QUEUE_TIME.as_secs_f64() / latency.max(1e-6);
-        let share = share.clamp(*QUEUE_SHARE.start(), *QUEUE_SHARE.end());
+    fn max_queue_len(&self) -> usize {
+        let latency = self
+            .limit
+            .latency()
+            .unwrap_or(QUEUE_DRAIN_TIME)
+            .as_secs_f64();
+        let share = QUEUE_DRAIN_TIME.as_secs_f64() / latency.max(1e-6);
+        let share = share.clamp(*QUEUE_RATIO.start(), *QUEUE_RATIO.end());
         let bound = (self.limit.get() as f64 * share) as usize;
-        bound.min(self.limited_bound()).max(MIN_QUEUE)
+        bound.min(self.rate_queue_len()).max(MIN_QUEUE_LEN)
     }
 
-    fn too_late(&self, now: Instant, deadline: Instant) -> bool {
+    fn misses_deadline(&self, now: Instant, deadline: Instant) -> bool {
         let left = deadline.saturating_duration_since(now);
-        left.is_zero() || left < self.need()
+        left.is_zero() || left < self.min_run_time()
     }
 
     /// Returns the time that a call needs at the least once it has started.
-    pub(super) fn need(&self) -> Duration {
+    pub(super) fn min_run_time(&self) -> Duration {
         self.limit.latency().unwrap_or_default().mul_f64(0.5)
     }
 
     fn start(&mut self, now: Instant, call: &QueuedCall) {
         self.threshold.record_start();
-        self.throttle.start(now);
-        self.started += 1;
-        let run = Running {
-            started: now,
+        self.throttle.record_start(now);
+        self.start_count += 1;
+        let run = RunningCall {
+            start: now,
             level: call.priority.level(),
-            paid: self.queue.charge(call),
+            charge: self.queue.charge(call),
         };
         self.running.insert(call.token, run);
     }
 
-    fn fill(&mut self, now: Instant, events: &mut Vec<Event>) {
+    fn start_queued(&mut self, now: Instant, events: &mut Vec<Event>) {
         while self.may_start(now) {
             let Some(call) = self.queue.pop_first() else {
                 return;
             };
-            if self.too_late(now, call.deadline) {
+            if self.misses_deadline(now, call.deadline) {
                 self.threshold.record_shed();
                 events.push(Event::Shed(call.token, Shed::Deadline));
                 continue;
--- a/src/policy/admission/downstream.rs
+++ b/src/policy/admission/downstream.rs
@@ -22,11 +22,11 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Below {
+struct ServiceLevels {
     level: LastLevel,
-    below: LastLevel,
+    downstream: LastLevel,
     classes: RankSet,
-    depends: RankSet,
+    needed_by: RankSet,
     callers: ClassShares,
 }
 
@@ -38,23 +38,29 @@
 /// the same; so work that does not depend on the refusing service goes on.
 #[derive(Debug, Default)]
 pub struct DownstreamLevels {
-    services: BTreeMap<ServiceName, Below>,
+    services: BTreeMap<ServiceName, ServiceLevels>,
 }
 
 impl DownstreamLevels {
     /// Takes note of what a call of `rank` met, and how it ended.
-    pub fn record(&mut self, now: Instant, rank: ClassRank, met: &[OnwardOutcome], answered: bool) {
-        for (service, below) in &mut self.services {
-            let called = met.iter().any(|one| one.service == *service);
-            below.callers.record(rank, called);
+    pub fn record(
+        &mut self,
+        now: Instant,
+        rank: ClassRank,
+        outcomes: &[OnwardOutcome],
+        answered: bool,
+    ) {
+        for (service, levels) in &mut self.services {
+            let called = outcomes.iter().any(|outcome| outcome.service == *service);
+            levels.callers.record(rank, called);
         }
-        for one in met {
-            if let Some(below) = self.services.get_mut(&one.service) {
-                below.record(now, rank, one, answered);
+        for outcome in outcomes {
+            if let Some(levels) = self.services.get_mut(&outcome.service) {
+                levels.record(now, rank, outcome, answered);
             } else {
-                let below = self.services.entry(one.service.clone()).or_default();
-                below.callers.record(rank, true);
-                below.record(now, rank, one, answered);
+                let levels = self.services.entry(outcome.service.clone()).or_default();
+                levels.callers.record(rank, true);
+                levels.record(now, rank, outcome, answered);
             }
         }
     }
@@ -63,7 +69,7 @@
     pub fn level(&self, now: Instant, rank: ClassRank, protected: bool) -> Level {
         self.services
             .values()
-            .map(|below| below.level(now, rank, protected))
+            .map(|levels| levels.level(now, rank, protected))
             .max()
             .unwrap_or_default()
     }
@@ -72,19 +78,19 @@
     pub fn highest(&self, now: Instant) -> (Level, RankSet) {
         self.services
             .values()
-            .map(|below| below.highest(now))
+            .map(|levels| levels.highest(now))
             .max_by_key(|(level, _)| *level)
             .unwrap_or_default()
     }
 }
 
-impl Below {
-    fn record(&mut self, now: Instant, rank: ClassRank, met: &OnwardOutcome, answered: bool) {
-        self.level.record(now, met.demand.level);
-        self.below.record(now, met.demand.below);
-        self.classes = met.demand.classes;
-        if met.refused {
-            self.depends.set(rank, !answered);
+impl ServiceLevels {
+    fn record(&mut self, now: Instant, rank: ClassRank, outcome: &OnwardOutcome, answered: bool) {
+        self.level.record(now, outcome.demand.level);
+        self.downstream.record(now, outcome.demand.below);
+        self.classes = outcome.demand.classes;
+        if outcome.refused {
+            self.needed_by.set(rank, !answered);
         }
     }
 
@@ -94,7 +100,7 @@
         }
         let own = self.level.level(now, protected);
         if self.classes.contains(rank) {
-            own.max(self.below.level(now, protected))
+            own.max(self.downstream.level(now, protected))
         } else {
             own
         }
@@ -102,17 +108,17 @@
 
     /// Returns the classes that cannot do without the service.
     fn dependents(&self) -> RankSet {
-        self.depends.both(self.callers.frequent())
+        self.needed_by.both(self.callers.frequent())
     }
 
     fn highest(&self, now: Instant) -> (Level, RankSet) {
-        let depends = self.dependents();
+        let dependents = self.dependents();
         let own = self.level.level(now, false);
-        let below = self.below.level(now, false);
-        if below > own {
-            (below, depends.both(self.classes))
+        let downstream = self.downstream.level(now, false);
+        if downstream > own {
+            (downstream, dependents.both(self.classes))
         } else {
-            (own, depends)
+            (own, dependents)
         }
     }
 }
--- a/src/policy/admission/fair.rs
+++ b/src/policy/admission/fair.rs
@@ -5,12 +5,12 @@
 
 use tokio::time::Instant;
 
-use super::fair_class::{Charge, FairClass};
+use super::fair_class::{FairClass, SettledCharge};
 use super::{CallToken, Outcome, QueuedCall, UsageTable, Weights};
 use crate::model::{ClassRank, WorkspaceId};
 
 /// How often accounts that are no longer used are looked for.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a started call was charged.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,16 +27,16 @@
 /// are short: the others keep what they ask for up to their part, by time and
 /// not by calls, so that long calls are no way to a greater part. Classes stay
 /// strict: the calls of a more important one go first, whoever they are for.
-/// Within a workspace the order is that of [`super::Queue`].
+/// Within a workspace the order is that of [`super::PriorityQueue`].
 #[derive(Debug)]
 pub struct FairQueue {
     weights: Weights,
     classes: BTreeMap<ClassRank, FairClass>,
-    places: HashMap<CallToken, (ClassRank, Option<WorkspaceId>)>,
+    locations: HashMap<CallToken, (ClassRank, Option<WorkspaceId>)>,
     usage: UsageTable,
     epoch: u32,
-    answered: Option<Instant>,
-    swept: Instant,
+    last_answer: Option<Instant>,
+    last_sweep: Instant,
 }
 
 impl FairQueue {
@@ -45,11 +45,11 @@
         Self {
             weights,
             classes: BTreeMap::new(),
-            places: HashMap::new(),
+            locations: HashMap::new(),
             usage: UsageTable::default(),
             epoch: 0,
-            answered: None,
-            swept: now,
+            last_answer: None,
+            last_sweep: now,
         }
     }
 
@@ -62,12 +62,12 @@
 
     /// Returns the number of calls that wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
     /// Tells whether no call waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
     /// Takes note of a call that may start or wait.
@@ -82,7 +82,7 @@
     pub fn push(&mut self, now: Instant, call: QueuedCall) {
         let rank = call.priority.rank();
         let weight = self.weights.of(call.workspace);
-        self.places.insert(call.token, (rank, call.workspace));
+        self.locations.insert(call.token, (rank, call.workspace));
         let class = self.classes.entry(rank).or_default();
         class.push(now, call, weight);
     }
@@ -90,7 +90,7 @@
     /// Takes the call that starts next.
     pub fn pop_first(&mut self) -> Option<QueuedCall> {
         let call = self.classes.values_mut().find_map(FairClass::pop_first)?;
-        self.places.remove(&call.token);
+        self.locations.remove(&call.token);
         Some(call)
     }
 
@@ -105,13 +105,13 @@
             std::cmp::Ordering::Equal => class.evict(Some(arriving)),
             std::cmp::Ordering::Less => class.evict(None),
         }?;
-        self.places.remove(&evicted.token);
+        self.locations.remove(&evicted.token);
         Some(evicted)
     }
 
     /// Takes out the call named `token`.
     pub fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
-        let (rank, workspace) = self.places.remove(&token)?;
+        let (rank, workspace) = self.locations.remove(&token)?;
         self.classes.get_mut(&rank)?.remove(workspace, token)
     }
 
@@ -120,14 +120,14 @@
         let classes = self.classes.values_mut().rev();
         let expired: Vec<_> = classes.flat_map(|class| class.take_expired(now)).collect();
         for call in &expired {
-            self.places.remove(&call.token);
+            self.locations.remove(&call.token);
         }
         expired
     }
 
     /// Takes out all calls.
     pub fn drain(&mut self) -> Vec<QueuedCall> {
-        self.places.clear();
+        self.locations.clear();
         let classes = self.classes.values_mut().rev();
         classes.flat_map(FairClass::drain).collect()
     }
@@ -147,24 +147,24 @@
     /// Corrects the charge of a call to what it took.
     ///
     /// Time in which the backend server answered nobody is charged to nobody.
-    pub fn settle(&mut self, now: Instant, paid: SlotCharge, started: Instant, outcome: Outcome) {
+    pub fn settle(&mut self, now: Instant, charge: SlotCharge, started: Instant, outcome: Outcome) {
         let answered = outcome == Outcome::Answered;
         if outcome != Outcome::Failed {
-            self.answered = Some(now);
+            self.last_answer = Some(now);
         }
-        let until = self.answered.unwrap_or(started);
-        let taken = until.saturating_duration_since(started);
-        self.usage.add_time(paid.workspace, taken);
-        if paid.epoch != self.epoch {
+        let until = self.last_answer.unwrap_or(started);
+        let slot_time = until.saturating_duration_since(started);
+        self.usage.add_time(charge.workspace, slot_time);
+        if charge.epoch != self.epoch {
             return;
         }
-        let charge = Charge {
-            estimate: paid.estimate,
-            taken: taken.as_secs_f64(),
+        let settled = SettledCharge {
+            estimate: charge.estimate,
+            slot_time: slot_time.as_secs_f64(),
             answered,
         };
-        if let Some(class) = self.classes.get_mut(&paid.rank) {
-            class.settle(now, paid.workspace, charge);
+        if let Some(class) = self.classes.get_mut(&charge.rank) {
+            class.settle(now, charge.workspace, settled);
         }
     }
 
@@ -176,8 +176,8 @@
     /// Forgets all charges, since the backend server has started anew.
     pub fn forget(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
-        self.answered = None;
-        self.classes.values_mut().for_each(FairClass::forget);
+        self.last_answer = None;
+        self.classes.values_mut().for_each(FairClass::reset);
     }
 
     /// Returns the number of accounts that are kept.
@@ -186,11 +186,13 @@
     }
 
     fn sweep(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.swept) < SWEEP {
+        if now.saturating_duration_since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        self.classes.values_mut().for_each(|class| class.fade(now));
+        self.last_sweep = now;
+        self.classes
+            .values_mut()
+            .for_each(|class| class.remove_idle(now));
         self.classes.retain(|_, class| class.len() > 0);
     }
 }
--- a/src/policy/admission/fair_class.rs
+++ b/src/policy/admission/fair_class.rs
@@ -11,11 +11,11 @@
 
 /// Expected slot time in seconds before any call was answered; it only has to be
 /// the same for all.
-const FIRST_ESTIMATE: f64 = 0.05;
+const INITIAL_ESTIMATE: f64 = 0.05;
 /// Weight of one call in the moving average of slot time.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Accounts above which idle ones are forgotten at once.
-const MANY: usize = 1024;
+const IDLE_FLOW_LIMIT: usize = 1024;
 
 /// The workspaces that compete within one class, by start-time fair queueing.
 ///
@@ -24,16 +24,16 @@
 /// which a call has started: whoever comes begins there.
 #[derive(Debug)]
 pub(super) struct FairClass {
-    clock: f64,
-    mean: f64,
+    virtual_time: f64,
+    mean_time: f64,
     flows: BTreeMap<Option<WorkspaceId>, Flow>,
 }
 
 impl Default for FairClass {
     fn default() -> Self {
         Self {
-            clock: 0.0,
-            mean: FIRST_ESTIMATE,
+            virtual_time: 0.0,
+            mean_time: INITIAL_ESTIMATE,
             flows: BTreeMap::new(),
         }
     }
@@ -52,7 +52,7 @@
 
     /// Takes note of a call that arrives.
     pub(super) fn record_arrival(&mut self, now: Instant, call: &QueuedCall, weight: f64) {
-        let (clock, mean) = (self.clock, self.mean);
+        let (clock, mean) = (self.virtual_time, self.mean_time);
         self.flow(now, call, weight)
             .record_arrival(now, clock, mean);
     }
@@ -72,7 +72,7 @@
         let waiting = self.flows.values_mut();
         let waiting = waiting.filter(|flow| !flow.calls.is_empty());
         let next = waiting.min_by(|a, b| {
-            let by_tag = a.tag.total_cmp(&b.tag);
+            let by_tag = a.start_tag.total_cmp(&b.start_tag);
             by_tag.then_with(|| b.first().cmp(&a.first()))
         });
         next?.calls.pop_first()
@@ -81,12 +81,12 @@
     /// Takes out the least important call of the workspace that is furthest over
     /// its share; `None` if that is the call `arriving`.
     pub(super) fn evict(&mut self, arriving: Option<&QueuedCall>) -> Option<QueuedCall> {
-        let mean = self.mean;
+        let mean = self.mean_time;
         let candidates = self.flows.iter_mut().filter_map(|(id, flow)| {
             let own = arriving.filter(|call| call.workspace == *id);
             let least = flow.least().into_iter().chain(own);
             let least = least.map(|call| call.priority).min()?;
-            let over = flow.last_start(mean, usize::from(own.is_some()));
+            let over = flow.last_start_tag(mean, usize::from(own.is_some()));
             Some((over, Reverse(least), own, flow))
         });
         let furthest = candidates.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -102,33 +102,38 @@
         let Some(flow) = self.flows.get_mut(&call.workspace) else {
             return 0.0;
         };
-        let estimate = flow.estimate(self.mean);
-        self.clock = self.clock.max(flow.tag);
+        let estimate = flow.estimate(self.mean_time);
+        self.virtual_time = self.virtual_time.max(flow.start_tag);
         flow.charge(estimate);
         flow.running += 1;
         estimate
     }
 
     /// Corrects the charge of a call that ended.
-    pub(super) fn settle(&mut self, now: Instant, of: Option<WorkspaceId>, ended: Charge) {
-        let Some(flow) = self.flows.get_mut(&of) else {
+    pub(super) fn settle(
+        &mut self,
+        now: Instant,
+        workspace: Option<WorkspaceId>,
+        ended: SettledCharge,
+    ) {
+        let Some(flow) = self.flows.get_mut(&workspace) else {
             return;
         };
-        flow.charge(ended.taken - ended.estimate);
-        flow.ended(now);
+        flow.charge(ended.slot_time - ended.estimate);
+        flow.record_end(now);
         if ended.answered {
-            flow.learn(ended.taken);
-            self.mean += (ended.taken - self.mean) * MEAN_WEIGHT;
+            flow.record_time(ended.slot_time);
+            self.mean_time += (ended.slot_time - self.mean_time) * MEAN_WEIGHT;
         }
     }
 
     /// Takes out a call.
     pub(super) fn remove(
         &mut self,
-        of: Option<WorkspaceId>,
+        workspace: Option<WorkspaceId>,
         token: CallToken,
     ) -> Option<QueuedCall> {
-        self.flows.get_mut(&of)?.calls.remove(token)
+        self.flows.get_mut(&workspace)?.calls.remove(token)
     }
 
     /// Takes out all calls whose wait has ended.
@@ -146,9 +151,9 @@
     }
 
     /// Forgets the accounts that are no longer used.
-    pub(super) fn fade(&mut self, now: Instant) {
-        self.flows.retain(|_, flow| !flow.has_faded(now));
-        if self.flows.len() > MANY {
+    pub(super) fn remove_idle(&mut self, now: Instant) {
+        self.flows.retain(|_, flow| !flow.has_expired(now));
+        if self.flows.len() > IDLE_FLOW_LIMIT {
             self.flows.retain(|_, flow| flow.is_active());
         }
     }
@@ -161,18 +166,18 @@
     }
 
     /// Forgets all charges.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.flows.retain(|_, flow| !flow.calls.is_empty());
         self.flows.values_mut().for_each(Flow::reset);
-        self.clock = 0.0;
-        self.mean = FIRST_ESTIMATE;
+        self.virtual_time = 0.0;
+        self.mean_time = INITIAL_ESTIMATE;
     }
 }
 
 /// The slot time of a call that ended, in seconds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Charge {
+pub(super) struct SettledCharge {
     pub(super) estimate: f64,
-    pub(super) taken: f64,
+    pub(super) slot_time: f64,
     pub(super) answered: bool,
 }
--- a/src/policy/admission/fault_rate.rs
+++ b/src/policy/admission/fault_rate.rs
@@ -3,7 +3,7 @@
 use crate::model::Percent;
 
 /// Weight of one call; some twenty calls make up the share.
-const WEIGHT: f64 = 0.05;
+const CALL_WEIGHT: f64 = 0.05;
 
 /// The share of calls that a backend server failed by itself, though all calls
 /// that it made onwards were answered. Refusals do not count: they cost little,
@@ -16,8 +16,8 @@
 impl FaultRate {
     /// Takes note of a call that ended.
     pub fn record(&mut self, faulty: bool) {
-        let sign = if faulty { 1.0 } else { 0.0 };
-        self.share += (sign - self.share) * WEIGHT;
+        let sample = if faulty { 1.0 } else { 0.0 };
+        self.share += (sample - self.share) * CALL_WEIGHT;
     }
 
     /// Returns the share.
--- a/src/policy/admission/flow.rs
+++ b/src/policy/admission/flow.rs
@@ -4,82 +4,82 @@
 
 use tokio::time::Instant;
 
-use super::{Queue, QueuedCall};
+use super::{PriorityQueue, QueuedCall};
 use crate::model::Priority;
 
 /// Weight of one call in the moving average of slot time.
 const MEAN_WEIGHT: f64 = 0.1;
 /// Calls that an idle workspace has stored up: a small one, whose part is a few
 /// calls a second, asks for them in twos and threes.
-const STORED: f64 = 2.0;
+const IDLE_CREDIT_CALLS: f64 = 2.0;
 /// How long an idle account is kept, so that the calls of a workspace that
 /// comes back are known by what they took: the longest that callers wait.
-const MEMORY: Duration = Duration::from_secs(5);
+const IDLE_LIFETIME: Duration = Duration::from_secs(5);
 
 /// The calls of one workspace in one class, and its account of slot time.
 #[derive(Debug)]
 pub(super) struct Flow {
     /// Its calls that wait.
-    pub(super) calls: Queue,
+    pub(super) calls: PriorityQueue,
     /// The virtual time at which its next call starts: what it has used by its
     /// weight, or the clock of the class if it used none lately.
-    pub(super) tag: f64,
+    pub(super) start_tag: f64,
     pub(super) weight: f64,
     pub(super) running: usize,
-    mean: Option<f64>,
-    used: Instant,
+    mean_time: Option<f64>,
+    last_use: Instant,
 }
 
 impl Flow {
     /// Opens an account.
     pub(super) fn new(now: Instant, weight: f64) -> Self {
         Self {
-            calls: Queue::default(),
-            tag: 0.0,
+            calls: PriorityQueue::default(),
+            start_tag: 0.0,
             weight,
             running: 0,
-            mean: None,
-            used: now,
+            mean_time: None,
+            last_use: now,
         }
     }
 
     /// Takes note of a call that arrives. An idle workspace has stored up no more
     /// than a few calls.
-    pub(super) fn record_arrival(&mut self, now: Instant, clock: f64, class_mean: f64) {
-        self.used = now;
+    pub(super) fn record_arrival(&mut self, now: Instant, virtual_time: f64, class_mean: f64) {
+        self.last_use = now;
         if self.calls.is_empty() {
-            let stored = STORED * self.estimate(class_mean) / self.weight;
-            self.tag = self.tag.max(clock - stored);
+            let credit = IDLE_CREDIT_CALLS * self.estimate(class_mean) / self.weight;
+            self.start_tag = self.start_tag.max(virtual_time - credit);
         }
     }
 
     /// Returns the slot time in seconds that a call is expected to take.
     pub(super) fn estimate(&self, class_mean: f64) -> f64 {
-        self.mean.unwrap_or(class_mean)
+        self.mean_time.unwrap_or(class_mean)
     }
 
     /// Charges slot time in seconds; what is below zero is given back.
     pub(super) fn charge(&mut self, time: f64) {
-        self.tag += time / self.weight;
+        self.start_tag += time / self.weight;
     }
 
     /// Takes note of the slot time of an answered call.
-    pub(super) fn learn(&mut self, time: f64) {
-        let mean = self.mean.unwrap_or(time);
-        self.mean = Some(mean + (time - mean) * MEAN_WEIGHT);
+    pub(super) fn record_time(&mut self, time: f64) {
+        let mean = self.mean_time.unwrap_or(time);
+        self.mean_time = Some(mean + (time - mean) * MEAN_WEIGHT);
     }
 
     /// Takes note of a call that ended.
-    pub(super) fn ended(&mut self, now: Instant) {
+    pub(super) fn record_end(&mut self, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        self.used = now;
+        self.last_use = now;
     }
 
     /// Returns the virtual time at which its last call would start if `more`
     /// joined those that wait.
-    pub(super) fn last_start(&self, class_mean: f64, more: usize) -> f64 {
+    pub(super) fn last_start_tag(&self, class_mean: f64, more: usize) -> f64 {
         let before = (self.calls.len() + more).saturating_sub(1) as f64;
-        self.tag + before * self.estimate(class_mean) / self.weight
+        self.start_tag + before * self.estimate(class_mean) / self.weight
     }
 
     /// Returns the place of the call that goes first.
@@ -98,14 +98,14 @@
     }
 
     /// Tells whether it may be forgotten.
-    pub(super) fn has_faded(&self, now: Instant) -> bool {
-        !self.is_active() && now.saturating_duration_since(self.used) >= MEMORY
+    pub(super) fn has_expired(&self, now: Instant) -> bool {
+        !self.is_active() && now.saturating_duration_since(self.last_use) >= IDLE_LIFETIME
     }
 
     /// Begins anew, keeping the calls that wait.
     pub(super) fn reset(&mut self) {
-        self.tag = 0.0;
-        self.mean = None;
+        self.start_tag = 0.0;
+        self.mean_time = None;
         self.running = 0;
     }
 }
--- a/src/policy/admission/limit.rs
+++ b/src/policy/admission/limit.rs
@@ -10,7 +10,7 @@
 /// about twice as long, and refuse what is too much.
 const COLD_SHARE: f64 = 0.5;
 /// Shortest time between two decreases.
-const MIN_HOLD: Duration = Duration::from_millis(20);
+const MIN_DECREASE_GAP: Duration = Duration::from_millis(20);
 /// Weight of one call in the moving average of latency.
 const LATENCY_WEIGHT: f64 = 0.05;
 
@@ -35,7 +35,7 @@
     ceiling: f64,
     current: f64,
     cold: bool,
-    hold_until: Option<Instant>,
+    next_decrease: Option<Instant>,
     latency: Option<f64>,
 }
 
@@ -47,7 +47,7 @@
             ceiling,
             current: ceiling,
             cold: false,
-            hold_until: None,
+            next_decrease: None,
             latency: None,
         }
     }
@@ -83,13 +83,13 @@
     /// Takes note of a call that ended after `latency` with `in_flight` others.
     pub fn record(&mut self, now: Instant, outcome: Outcome, latency: Duration, in_flight: usize) {
         match outcome {
-            Outcome::Answered => self.answered(latency, in_flight),
-            Outcome::Refused => self.refused(now, in_flight),
+            Outcome::Answered => self.record_answer(latency, in_flight),
+            Outcome::Refused => self.record_refusal(now, in_flight),
             Outcome::Failed => {}
         }
     }
 
-    fn answered(&mut self, latency: Duration, in_flight: usize) {
+    fn record_answer(&mut self, latency: Duration, in_flight: usize) {
         let secs = latency.as_secs_f64();
         let mean = self.latency.unwrap_or(secs);
         self.latency = Some(mean + (secs - mean) * LATENCY_WEIGHT);
@@ -104,14 +104,17 @@
         }
     }
 
-    fn refused(&mut self, now: Instant, in_flight: usize) {
+    fn record_refusal(&mut self, now: Instant, in_flight: usize) {
         self.cold = false;
-        if self.hold_until.is_some_and(|until| now < until) {
+        if self.next_decrease.is_some_and(|until| now < until) {
             return;
         }
         // What was in flight besides the refused call is what it can bear.
         self.current = self.current.min(in_flight as f64 - 1.0).max(1.0);
-        let round = self.latency().unwrap_or(MIN_HOLD).max(MIN_HOLD);
-        self.hold_until = Some(now + round);
+        let round = self
+            .latency()
+            .unwrap_or(MIN_DECREASE_GAP)
+            .max(MIN_DECREASE_GAP);
+        self.next_decrease = Some(now + round);
     }
 }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -32,7 +32,7 @@
 pub use last_level::LastLevel;
 pub use limit::{ConcurrencyLimit, Outcome};
 pub use load::GuardLoad;
-pub use queue::{CallToken, Queue, QueuedCall};
+pub use queue::{CallToken, PriorityQueue, QueuedCall};
 pub use shed::Shed;
 pub use threshold::{Backlog, Threshold};
 pub use throttle::Throttle;
--- a/src/policy/admission/queue.rs
+++ b/src/policy/admission/queue.rs
@@ -33,13 +33,13 @@
 
 /// A queue that gives the most important call first and, among equals, the newest.
 #[derive(Debug, Default)]
-pub struct Queue {
+pub struct PriorityQueue {
     calls: BTreeMap<Key, QueuedCall>,
     keys: HashMap<CallToken, Key>,
     sequence: u64,
 }
 
-impl Queue {
+impl PriorityQueue {
     /// Returns the number of calls that wait.
     pub fn len(&self) -> usize {
         self.calls.len()
--- a/src/policy/admission/report.rs
+++ b/src/policy/admission/report.rs
@@ -21,13 +21,13 @@
 
     /// Returns the load, and counts of calls since the last report.
     pub fn report(&mut self, now: Instant) -> GuardLoad {
-        let (downstream, _) = self.chain.highest(now);
+        let (downstream, _) = self.downstream.highest(now);
         GuardLoad {
             running: self.running.len(),
             waiting: self.queue.len(),
             limit: self.limit.get(),
-            started: std::mem::take(&mut self.started),
-            shed: std::mem::take(&mut self.shed),
+            started: std::mem::take(&mut self.start_count),
+            shed: std::mem::take(&mut self.shed_count),
             level: self.threshold.level(),
             downstream,
             latency: self.limit.latency().unwrap_or_default(),
@@ -52,7 +52,7 @@
 
     /// Returns what answers carry of this guard.
     pub fn status(&self, now: Instant) -> GuardNews {
-        let (below, classes) = self.chain.highest(now);
+        let (below, classes) = self.downstream.highest(now);
         let load = self.running.len() + self.queue.len();
         GuardNews {
             demand: Demand {
@@ -61,7 +61,7 @@
                 classes,
             },
             load: u32::try_from(load).unwrap_or(u32::MAX),
-            faults: self.faults.share(),
+            faults: self.fault_rate.share(),
             leaving: self.leaving,
             told: None,
             room: self.rate_wait(now),
--- a/src/policy/admission/throttle.rs
+++ b/src/policy/admission/throttle.rs
@@ -8,23 +8,23 @@
 
 /// Calls that may start at once after a pause, as the time in which the server
 /// takes so many; callers come in clumps.
-const BURST: Duration = Duration::from_millis(250);
+const BURST_TIME: Duration = Duration::from_millis(250);
 /// Fewest calls that may start at once.
-const MIN_BURST: f64 = 1.0;
+const MIN_BURST_CALLS: f64 = 1.0;
 /// Calls a second that go to a server which takes fewer or none: without any
 /// answer nobody hears that the need is over.
-const LEAST: f64 = 0.5;
+const MIN_CALL_RATE: f64 = 0.5;
 
 /// What the present run of the server named last.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct RateState {
     rate: Rate,
     /// When it was heard.
-    heard: Instant,
+    reported_at: Instant,
     /// Calls that may start.
     credit: f64,
     /// When the credit was that.
-    counted: Instant,
+    credited_at: Instant,
 }
 
 /// Bounds the calls a second to a server that has named how many it takes.
@@ -34,15 +34,15 @@
 /// overtake each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Throttle {
-    named: Option<Named>,
+    state: Option<RateState>,
     /// Whether the present run has said anything of it.
-    heard: bool,
+    has_report: bool,
 }
 
 impl Throttle {
     /// Returns the rate that holds, if one was named.
     pub fn rate(&self) -> Option<Rate> {
-        self.named.map(|named| named.rate)
+        self.state.map(|state| state.rate)
     }
 
     /// Takes what an answer to a call says that was sent at `sent`; returns
@@ -50,14 +50,14 @@
     ///
     /// What is no rate leaves things as they are.
     pub fn record(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
-        self.heard |= rate != NamedRate::Unreadable;
-        let is_newer = self.named.is_none_or(|named| sent >= named.heard);
+        self.has_report |= rate != NamedRate::Unreadable;
+        let is_newer = self.state.is_none_or(|state| sent >= state.reported_at);
         match (rate, self.rate()) {
-            (NamedRate::Some(rate), None) => self.set(now, rate),
+            (NamedRate::Some(rate), None) => self.set_rate(now, rate),
             (NamedRate::Some(rate), Some(last)) if rate < last || rate > last && is_newer => {
-                self.set(now, rate);
+                self.set_rate(now, rate);
             }
-            (NamedRate::None, Some(_)) if is_newer => self.named = None,
+            (NamedRate::None, Some(_)) if is_newer => self.state = None,
             (NamedRate::Some(_) | NamedRate::None | NamedRate::Unreadable, _) => return false,
         }
         true
@@ -66,9 +66,9 @@
     /// Takes a rate that another daemon heard of, unless the server itself has
     /// said something since; returns whether that changes the rate.
     pub fn adopt(&mut self, now: Instant, rate: Rate) -> bool {
-        let is_new = !self.heard && self.named.is_none();
+        let is_new = !self.has_report && self.state.is_none();
         if is_new {
-            self.set(now, rate);
+            self.set_rate(now, rate);
         }
         is_new
     }
@@ -78,22 +78,22 @@
         *self = Self::default();
     }
 
-    fn set(&mut self, now: Instant, rate: Rate) {
+    fn set_rate(&mut self, now: Instant, rate: Rate) {
         let credit = self.credit(now).unwrap_or_default();
-        self.named = Some(Named {
+        self.state = Some(RateState {
             rate,
-            heard: now,
-            credit: credit.min(burst(rate)),
-            counted: now,
+            reported_at: now,
+            credit: credit.min(max_credit(rate)),
+            credited_at: now,
         });
     }
 
     /// Returns the calls that may start now, where a rate holds.
     fn credit(&self, now: Instant) -> Option<f64> {
-        let named = self.named?;
-        let since = now.saturating_duration_since(named.counted);
-        let grown = named.credit + since.as_secs_f64() * pace(named.rate);
-        Some(grown.min(burst(named.rate)))
+        let state = self.state?;
+        let since = now.saturating_duration_since(state.credited_at);
+        let grown = state.credit + since.as_secs_f64() * call_rate(state.rate);
+        Some(grown.min(max_credit(state.rate)))
     }
 
     /// Tells whether a call may start now.
@@ -102,31 +102,31 @@
     }
 
     /// Takes note of a call that starts.
-    pub fn start(&mut self, now: Instant) {
+    pub fn record_start(&mut self, now: Instant) {
         let Some(credit) = self.credit(now) else {
             return;
         };
-        if let Some(named) = &mut self.named {
-            named.credit = (credit - 1.0).max(0.0);
-            named.counted = now;
+        if let Some(state) = &mut self.state {
+            state.credit = (credit - 1.0).max(0.0);
+            state.credited_at = now;
         }
     }
 
     /// Returns how long a call waits that `ahead` others go before.
-    pub fn wait(&self, now: Instant, ahead: usize) -> Duration {
-        let (Some(named), Some(credit)) = (self.named, self.credit(now)) else {
+    pub fn wait_time(&self, now: Instant, ahead: usize) -> Duration {
+        let (Some(state), Some(credit)) = (self.state, self.credit(now)) else {
             return Duration::ZERO;
         };
         let missing = (ahead as f64 + 1.0 - credit).max(0.0);
-        Duration::from_secs_f64(missing / pace(named.rate))
+        Duration::from_secs_f64(missing / call_rate(state.rate))
     }
 }
 
 /// Returns the calls a second that go to a server which takes `rate`.
-fn pace(rate: Rate) -> f64 {
-    rate.get().max(LEAST)
+fn call_rate(rate: Rate) -> f64 {
+    rate.get().max(MIN_CALL_RATE)
 }
 
-fn burst(rate: Rate) -> f64 {
-    (pace(rate) * BURST.as_secs_f64()).max(MIN_BURST)
+fn max_credit(rate: Rate) -> f64 {
+    (call_rate(rate) * BURST_TIME.as_secs_f64()).max(MIN_BURST_CALLS)
 }
--- a/src/policy/admission/usage_table.rs
+++ b/src/policy/admission/usage_table.rs
@@ -6,9 +6,9 @@
 use crate::model::WorkspaceId;
 
 /// Workspaces that are counted; what has had the least makes way for another.
-const MOST: usize = 64;
+const MAX_WORKSPACES: usize = 64;
 /// Workspaces that are shown.
-const SHOWN: usize = 16;
+const TOP_WORKSPACES: usize = 16;
 
 /// What one workspace had of the slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,8 +21,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
-    all: Usage,
-    told: Usage,
+    total: Usage,
+    reported: Usage,
 }
 
 /// What each workspace had of the slots; the greatest only.
@@ -34,18 +34,18 @@
 impl UsageTable {
     /// Counts slot time.
     pub fn add_time(&mut self, workspace: Option<WorkspaceId>, time: Duration) {
-        self.count(workspace).all.time += time;
+        self.count(workspace).total.time += time;
     }
 
     /// Counts a call that was shed.
     pub fn count_shed(&mut self, workspace: Option<WorkspaceId>) {
-        self.count(workspace).all.shed += 1;
+        self.count(workspace).total.shed += 1;
     }
 
     fn count(&mut self, workspace: Option<WorkspaceId>) -> &mut Count {
-        if self.counts.len() >= MOST && !self.counts.contains_key(&workspace) {
+        if self.counts.len() >= MAX_WORKSPACES && !self.counts.contains_key(&workspace) {
             let all = self.counts.iter();
-            let least = all.min_by_key(|(_, count)| (count.all.time, count.all.shed));
+            let least = all.min_by_key(|(_, count)| (count.total.time, count.total.shed));
             if let Some(least) = least.map(|(id, _)| *id) {
                 self.counts.remove(&least);
             }
@@ -55,28 +55,26 @@
 
     /// Returns the workspaces with most slot time, the greatest first.
     pub fn top(&self) -> Vec<(Option<WorkspaceId>, Usage)> {
-        let all = self.counts.iter().map(|(id, count)| (*id, count.all));
-        first_by_time(all.collect())
+        let all = self.counts.iter().map(|(id, count)| (*id, count.total));
+        top_by_time(all.collect())
     }
 
     /// Returns the same of the time since it was last asked.
     pub fn take_recent(&mut self) -> Vec<(Option<WorkspaceId>, Usage)> {
         let lately = self.counts.iter_mut().map(|(id, count)| {
-            let told = std::mem::replace(&mut count.told, count.all);
+            let reported = std::mem::replace(&mut count.reported, count.total);
             let usage = Usage {
-                time: count.all.time.saturating_sub(told.time),
-                shed: count.all.shed.saturating_sub(told.shed),
+                time: count.total.time.saturating_sub(reported.time),
+                shed: count.total.shed.saturating_sub(reported.shed),
             };
             (*id, usage)
         });
-        first_by_time(lately.collect())
+        top_by_time(lately.collect())
     }
 }
 
-fn first_by_time(
-    mut usages: Vec<(Option<WorkspaceId>, Usage)>,
-) -> Vec<(Option<WorkspaceId>, Usage)> {
+fn top_by_time(mut usages: Vec<(Option<WorkspaceId>, Usage)>) -> Vec<(Option<WorkspaceId>, Usage)> {
     usages.sort_by_key(|(_, usage)| std::cmp::Reverse((usage.time, usage.shed)));
-    usages.truncate(SHOWN);
+    usages.truncate(TOP_WORKSPACES);
     usages
 }
--- a/src/policy/admission/wait_queue.rs
+++ b/src/policy/admission/wait_queue.rs
@@ -2,14 +2,14 @@
 
 use tokio::time::Instant;
 
-use super::{CallToken, FairQueue, Outcome, Queue, QueuedCall, SlotCharge, Weights};
+use super::{CallToken, FairQueue, Outcome, PriorityQueue, QueuedCall, SlotCharge, Weights};
 use crate::model::Priority;
 
 /// The calls that wait.
 #[derive(Debug)]
 pub(super) enum WaitQueue {
     /// In the order of importance alone.
-    Plain(Queue),
+    ByPriority(PriorityQueue),
     /// Shared among workspaces.
     Fair(Box<FairQueue>),
 }
@@ -17,7 +17,7 @@
 impl WaitQueue {
     pub(super) fn len(&self) -> usize {
         match self {
-            Self::Plain(queue) => queue.len(),
+            Self::ByPriority(queue) => queue.len(),
             Self::Fair(queue) => queue.len(),
         }
     }
@@ -30,9 +30,11 @@
     pub(super) fn set_weights(&mut self, now: Instant, weights: Option<Weights>) {
         let next = match (&mut *self, weights) {
             (Self::Fair(queue), Some(weights)) => return queue.set_weights(weights),
-            (Self::Plain(_), None) => return,
-            (Self::Plain(_), Some(weights)) => Self::Fair(Box::new(FairQueue::new(now, weights))),
-            (Self::Fair(_), None) => Self::Plain(Queue::default()),
+            (Self::ByPriority(_), None) => return,
+            (Self::ByPriority(_), Some(weights)) => {
+                Self::Fair(Box::new(FairQueue::new(now, weights)))
+            }
+            (Self::Fair(_), None) => Self::ByPriority(PriorityQueue::default()),
         };
         let before = std::mem::replace(self, next);
         for call in before.into_calls() {
@@ -52,14 +54,14 @@
 
     pub(super) fn push(&mut self, now: Instant, call: QueuedCall) {
         match self {
-            Self::Plain(queue) => queue.push(call),
+            Self::ByPriority(queue) => queue.push(call),
             Self::Fair(queue) => queue.push(now, call),
         }
     }
 
     pub(super) fn pop_first(&mut self) -> Option<QueuedCall> {
         match self {
-            Self::Plain(queue) => queue.pop_first(),
+            Self::ByPriority(queue) => queue.pop_first(),
             Self::Fair(queue) => queue.pop_first(),
         }
     }
@@ -68,7 +70,7 @@
     /// `arriving` one that there is no room for.
     pub(super) fn make_room(&mut self, arriving: &QueuedCall) -> Option<QueuedCall> {
         match self {
-            Self::Plain(queue) => match queue.least() {
+            Self::ByPriority(queue) => match queue.least() {
                 Some(least) if least.priority < arriving.priority => queue.pop_least(),
                 _ => None,
             },
@@ -80,43 +82,46 @@
     /// where the order is not by priority alone.
     pub(super) fn count_ahead(&self, priority: Priority) -> usize {
         match self {
-            Self::Plain(queue) => queue.count_ahead(priority),
+            Self::ByPriority(queue) => queue.count_ahead(priority),
             Self::Fair(queue) => queue.len(),
         }
     }
 
     /// Takes out the least important call if `is_late` says so of it.
-    pub(super) fn pop_late(&mut self, is_late: impl Fn(&QueuedCall) -> bool) -> Option<QueuedCall> {
+    pub(super) fn pop_least_if(
+        &mut self,
+        is_late: impl Fn(&QueuedCall) -> bool,
+    ) -> Option<QueuedCall> {
         match self {
-            Self::Plain(queue) if queue.least().is_some_and(is_late) => queue.pop_least(),
-            Self::Plain(_) | Self::Fair(_) => None,
+            Self::ByPriority(queue) if queue.least().is_some_and(is_late) => queue.pop_least(),
+            Self::ByPriority(_) | Self::Fair(_) => None,
         }
     }
 
     pub(super) fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         match self {
-            Self::Plain(queue) => queue.remove(token),
+            Self::ByPriority(queue) => queue.remove(token),
             Self::Fair(queue) => queue.remove(token),
         }
     }
 
     pub(super) fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         match self {
-            Self::Plain(queue) => queue.take_expired(now),
+            Self::ByPriority(queue) => queue.take_expired(now),
             Self::Fair(queue) => queue.take_expired(now),
         }
     }
 
     pub(super) fn drain(&mut self) -> Vec<QueuedCall> {
         match self {
-            Self::Plain(queue) => queue.drain(),
+            Self::ByPriority(queue) => queue.drain(),
             Self::Fair(queue) => queue.drain(),
         }
     }
 
     pub(super) fn charge(&mut self, call: &QueuedCall) -> Option<SlotCharge> {
         match self {
-            Self::Plain(_) => None,
+            Self::ByPriority(_) => None,
             Self::Fair(queue) => Some(queue.charge(call)),
         }
     }
@@ -142,7 +147,7 @@
     /// Returns what is kept of workspaces, where they share.
     pub(super) fn fair_queue(&mut self) -> Option<&mut FairQueue> {
         match self {
-            Self::Plain(_) => None,
+            Self::ByPriority(_) => None,
             Self::Fair(queue) => Some(queue),
         }
     }
--- a/src/policy/admission/weights.rs
+++ b/src/policy/admission/weights.rs
@@ -6,9 +6,9 @@
 
 /// Least and greatest weight: no rate is declared so low that its workspace
 /// would starve beside the others.
-const RANGE: std::ops::RangeInclusive<f64> = 0.01..=100.0;
+const WEIGHT_RANGE: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 /// The weight of a workspace without a rate.
-const MEAN: f64 = 1.0;
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Weights of workspaces, as their declared rates are to each other.
 ///
@@ -24,7 +24,8 @@
         let rates: Vec<_> = rates.into_iter().collect();
         let sum: f64 = rates.iter().map(|(_, rate)| rate.get()).sum();
         let mean = (sum / rates.len() as f64).max(f64::MIN_POSITIVE);
-        let weight = |rate: Rate| (rate.get() / mean).clamp(*RANGE.start(), *RANGE.end());
+        let weight =
+            |rate: Rate| (rate.get() / mean).clamp(*WEIGHT_RANGE.start(), *WEIGHT_RANGE.end());
         let weights = rates.iter().map(|(id, rate)| (*id, weight(*rate)));
         Self {
             by_id: weights.collect(),
@@ -34,6 +35,6 @@
     /// Returns the weight of a workspace, or of the calls that have none.
     pub fn of(&self, workspace: Option<WorkspaceId>) -> f64 {
         let weight = workspace.and_then(|id| self.by_id.get(&id));
-        weight.copied().unwrap_or(MEAN)
+        weight.copied().unwrap_or(DEFAULT_WEIGHT)
     }
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -159,9 +159,9 @@
             now,
             Backlog {
                 waiting: 0,
-                bound: 20,
+                max_waiting: 20,
                 idle: !shed,
-                limited: false,
+                rate_limited: false,
             },
         );
     };
--- a/tests/fair_share/main.rs
+++ b/tests/fair_share/main.rs
@@ -18,7 +18,7 @@
     ClassRank, Depth, Priority, Rate, RootId, Slots, WorkspaceId, WorkspaceName,
 };
 use bramleymount::policy::admission::{
-    Admission, CallToken, FairQueue, Outcome, Queue, QueuedCall, Settings, Weights,
+    Admission, CallToken, FairQueue, Outcome, PriorityQueue, QueuedCall, Settings, Weights,
 };
 use load::{Asker, Got, Guard, SLOTS};
 use rand::rngs::StdRng;
@@ -235,7 +235,7 @@
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut plain = Queue::default();
+        let mut plain = PriorityQueue::default();
         let mut fair = FairQueue::new(now, Weights::default());
         for token in 0..2000 {
             let call = waiting(&mut rng, token, now);
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -30,7 +30,7 @@
     let mut starts = Vec::new();
     while now < end {
         while throttle.is_open(now) && starts.len() < 100_000 {
-            throttle.start(now);
+            throttle.record_start(now);
             starts.push(now);
         }
         now += STEP;
@@ -156,5 +156,5 @@
     let mut throttle = Throttle::default();
     let now = Instant::now();
     throttle.record(now, now, named(10.0));
-    assert_eq!(throttle.wait(now, ahead), Duration::from_millis(ms));
+    assert_eq!(throttle.wait_time(now, ahead), Duration::from_millis(ms));
 }
