--- a/src/policy/admission/rate_limited.rs
+++ b/src/policy/admission/rate_limited.rs
@@ -46,20 +46,20 @@
     /// Returns when calls may start next that wait for the server's rate.
     pub fn next_start(&self, now: Instant) -> Option<Instant> {
         let waits = self.throttle.rate().is_some() && !self.queue.is_empty();
-        waits.then(|| now + self.throttle.wait_time(now, 0).max(MIN_CHECK_INTERVAL))
+        waits.then(|| now + self.throttle.delay(now, 0).max(MIN_CHECK_INTERVAL))
     }
 
     /// Returns how long a call of the least importance waits for the rate.
-    pub fn rate_wait(&self, now: Instant) -> Duration {
+    pub fn rate_delay(&self, now: Instant) -> Duration {
         match self.throttle.rate() {
-            Some(_) => self.throttle.wait_time(now, self.queue.len()),
+            Some(_) => self.throttle.delay(now, self.queue.len()),
             None => Duration::ZERO,
         }
     }
 
     /// Returns when a caller may come back that the rate left no room for.
     pub fn rate_retry_after<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
-        self.rate_wait(now).mul_f64(rng.random_range(RETRY_SPREAD))
+        self.rate_delay(now).mul_f64(rng.random_range(RETRY_SPREAD))
     }
 
     /// Tells whether the rate lets no call start now.
@@ -86,17 +86,14 @@
         let latest = self.latest_start(now, &call);
         let ahead = self.queue.count_ahead(call.priority);
         let is_full = self.queue.len() >= self.limit.get() * MAX_QUEUE_PER_SLOT;
-        if is_full || now + self.throttle.wait_time(now, ahead) > latest {
+        if is_full || now + self.throttle.delay(now, ahead) > latest {
             self.threshold.record_shed();
             return Decision::Shed(Shed::Limited);
         }
         let expires = latest;
         self.queue.push(now, QueuedCall { expires, ..call });
         loop {
-            let last = now
-                + self
-                    .throttle
-                    .wait_time(now, self.queue.len().saturating_sub(1));
+            let last = now + self.throttle.delay(now, self.queue.len().saturating_sub(1));
             let Some(late) = self.queue.pop_least_if(|call| last > call.expires) else {
                 return Decision::Wait(latest);
             };
--- a/src/policy/admission/report.rs
+++ b/src/policy/admission/report.rs
@@ -64,7 +64,7 @@
             faults: self.fault_rate.share(),
             leaving: self.leaving,
             told: None,
-            room: self.rate_wait(now),
+            room: self.rate_delay(now),
         }
     }
 
--- a/src/policy/admission/throttle.rs
+++ b/src/policy/admission/throttle.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns how long a call waits that `ahead` others go before.
-    pub fn wait_time(&self, now: Instant, ahead: usize) -> Duration {
+    pub fn delay(&self, now: Instant, ahead: usize) -> Duration {
         let (Some(state), Some(credit)) = (self.state, self.credit(now)) else {
             return Duration::ZERO;
         };
--- a/tests/limited_admission.rs
+++ b/tests/limited_admission.rs
@@ -197,7 +197,7 @@
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
     guard.forget(Slots::new(119));
     assert_eq!(started(&guard.expire(now)), [1]);
-    assert_eq!(guard.rate_wait(now), Duration::ZERO);
+    assert_eq!(guard.rate_delay(now), Duration::ZERO);
 }
 
 /// A rate below what two classes ask for together and above what the higher one
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -156,5 +156,5 @@
     let mut throttle = Throttle::default();
     let now = Instant::now();
     throttle.record(now, now, named(10.0));
-    assert_eq!(throttle.wait_time(now, ahead), Duration::from_millis(ms));
+    assert_eq!(throttle.delay(now, ahead), Duration::from_millis(ms));
 }
