--- a/benches/members.rs
+++ b/benches/members.rs
@@ -8,7 +8,7 @@
 use bramleymount::emulator::Site;
 use bramleymount::model::{CentreName, ServiceName};
 use bramleymount::policy::member::{
-    Beat, Change, Member, MemberState, View, is_delegate, neighbours,
+    ChangeCount, Incarnation, Member, MemberState, View, is_delegate, neighbours,
 };
 use bramleymount::policy::rate::Ring;
 use bramleymount::policy::route::Balance;
@@ -53,7 +53,7 @@
             black_box(is_delegate(&view));
         }),
         micros(|| {
-            black_box(view.page(Change::default(), PAGE, &[]));
+            black_box(view.page(ChangeCount::default(), PAGE, &[]));
         }),
         micros(|| routes.update(estate, &view)),
         micros(|| {
@@ -82,7 +82,7 @@
         instance: address.parse().expect("an instance"),
         centre: centre(number),
         service: service.clone(),
-        beat: Beat(beat),
+        incarnation: Incarnation(beat),
         state: MemberState::Serving,
         slots: None,
     }
--- a/src/call/attempt.rs
+++ b/src/call/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{Reason, Refusal};
 use crate::model::{AttemptId, Verdict};
-use crate::policy::once::Refuse;
+use crate::policy::once::OnceRefusal;
 
 /// Nothing has been passed on.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     }
 
     /// Refuses a once call, with what that says of its key as a whole.
-    pub fn refuse_once(self, refuse: Refuse) -> Refusal {
+    pub fn refuse_once(self, refuse: OnceRefusal) -> Refusal {
         Refusal::new(refuse.verdict(), Reason::Once(refuse), refuse.advice())
     }
 }
--- a/src/call/reason.rs
+++ b/src/call/reason.rs
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 use crate::policy::admission::Shed;
-use crate::policy::once::Refuse;
+use crate::policy::once::OnceRefusal;
 
 /// Why a call has no answer of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -15,7 +15,7 @@
     /// It was shed.
     Shed(Shed),
     /// It must run at most once, and that could not be ensured.
-    Once(Refuse),
+    Once(OnceRefusal),
     /// The call is not well formed.
     BadRequest,
     /// The body is larger than is taken.
@@ -81,18 +81,18 @@
     Shed::Leaving,
 ];
 
-const ONCE: [Refuse; 11] = [
-    Refuse::NotOwned,
-    Refuse::OwnerLost,
-    Refuse::OwnerUnreachable,
-    Refuse::WrongOwner,
-    Refuse::Forgotten,
-    Refuse::BodyDiffers,
-    Refuse::OutcomeLost,
-    Refuse::Unseen,
-    Refuse::NoPlatform,
-    Refuse::LedgerFull,
-    Refuse::AnswerNotKept,
+const ONCE: [OnceRefusal; 11] = [
+    OnceRefusal::NotOwned,
+    OnceRefusal::OwnerLost,
+    OnceRefusal::OwnerUnreachable,
+    OnceRefusal::WrongOwner,
+    OnceRefusal::Forgotten,
+    OnceRefusal::BodyDiffers,
+    OnceRefusal::OutcomeLost,
+    OnceRefusal::Unseen,
+    OnceRefusal::NoPlatform,
+    OnceRefusal::LedgerFull,
+    OnceRefusal::AnswerNotKept,
 ];
 
 impl Reason {
@@ -131,9 +131,12 @@
             | Self::Rejected
             | Self::Replaced
             | Self::QueryOfDeath => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Once(Refuse::BodyDiffers) => StatusCode::UNPROCESSABLE_ENTITY,
+            Self::Once(OnceRefusal::BodyDiffers) => StatusCode::UNPROCESSABLE_ENTITY,
             Self::Once(
-                Refuse::Forgotten | Refuse::OwnerLost | Refuse::OutcomeLost | Refuse::AnswerNotKept,
+                OnceRefusal::Forgotten
+                | OnceRefusal::OwnerLost
+                | OnceRefusal::OutcomeLost
+                | OnceRefusal::AnswerNotKept,
             ) => StatusCode::CONFLICT,
             Self::Once(_) => StatusCode::SERVICE_UNAVAILABLE,
             Self::BadRequest | Self::RequestCut => StatusCode::BAD_REQUEST,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -25,7 +25,7 @@
 use crate::platform::{
     PlatformProtocol, RowStore, serve_announcements, serve_readiness, watch_configuration,
 };
-use crate::policy::member::{Beat, Duty, DutyTerm, Member, MemberState, View};
+use crate::policy::member::{Incarnation, Member, MemberState, RoleTracker, StoreRole, View};
 use crate::policy::rate::Terms;
 use crate::store::{Feed, HttpPlatform, Platform};
 use crate::tables::{
@@ -219,7 +219,7 @@
         instance,
         centre: config.centre.clone(),
         service: config.service.clone(),
-        beat: Beat(1),
+        incarnation: Incarnation(1),
         state: MemberState::Waiting,
         slots: None,
     };
@@ -249,8 +249,8 @@
         news: Notify::new(),
         grave: Notify::new(),
         stale: Notify::new(),
-        duty: watch::Sender::new(Duty::None),
-        term: Mutex::new(DutyTerm::new(Instant::now(), patience)),
+        duty: watch::Sender::new(StoreRole::None),
+        term: Mutex::new(RoleTracker::new(Instant::now(), patience)),
         row: Mutex::default(),
         readiness: Readiness::default(),
         asks: Mutex::new(BTreeSet::new()),
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -9,7 +9,7 @@
 use crate::model::Instance;
 use crate::policy::admission::Shed;
 use crate::policy::crash::{Standing, Suspect};
-use crate::policy::once::{Place, Refuse};
+use crate::policy::once::{Destination, OnceRefusal};
 use crate::policy::route::{Pick, Table, Want};
 
 impl Forward<'_> {
@@ -29,9 +29,11 @@
             // No other instance may start it.
             self.waits = true;
             return match self.place(&once.key) {
-                Place::At(instance) if self.may_reach(instance) => Ok((attempt, instance)),
-                Place::At(_) => Err(attempt.refuse_once(Refuse::OwnerUnreachable)),
-                Place::Refused(refuse) => Err(attempt.refuse_once(refuse)),
+                Destination::Instance(instance) if self.may_reach(instance) => {
+                    Ok((attempt, instance))
+                }
+                Destination::Instance(_) => Err(attempt.refuse_once(OnceRefusal::OwnerUnreachable)),
+                Destination::Refused(refuse) => Err(attempt.refuse_once(refuse)),
             };
         }
         let want = self.want();
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -49,7 +49,7 @@
 
     /// Takes leave to read a home row from the platform.
     pub(super) fn may_read_home(&self) -> bool {
-        self.home_reads.lock().take(Instant::now())
+        self.home_reads.lock().try_take(Instant::now())
     }
 
     /// Adds when the caller may come back to a refusal that does not say so,
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -24,7 +24,7 @@
 use crate::model::{Asked, CallId, CallerName, Fingerprint, OnceKey, ServiceName, Verdict};
 use crate::peer::Pool;
 use crate::policy::admission::Shed;
-use crate::policy::once::Refuse;
+use crate::policy::once::OnceRefusal;
 use crate::policy::retry::Repeats;
 use crate::policy::route::TargetState;
 use crate::tables::{Detail, Shared, Step};
@@ -294,7 +294,7 @@
     /// Offers a key that can be used now, where the one that was sent cannot.
     fn ticket(&self, accepted: &Accepted, refusal: &Refusal) -> Option<OnceKey> {
         match refusal.reason() {
-            Reason::Once(Refuse::NotOwned | Refuse::NoPlatform) => {
+            Reason::Once(OnceRefusal::NotOwned | OnceRefusal::NoPlatform) => {
                 self.issue(&accepted.head.service)
             }
             _ => None,
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -7,7 +7,7 @@
 use crate::call::{Attempt, Reason, Refusal, Reply};
 use crate::model::{Instance, OnceKey, Verdict};
 use crate::peer;
-use crate::policy::once::{Place, Refuse, place};
+use crate::policy::once::{Destination, OnceRefusal, destination};
 use crate::task::read_home;
 
 impl Forward<'_> {
@@ -20,7 +20,7 @@
         let Some(once) = &self.head().once else {
             return Ok(());
         };
-        let not_owned = Place::Refused(Refuse::NotOwned);
+        let not_owned = Destination::Refused(OnceRefusal::NotOwned);
         if self.place(&once.key) != not_owned || !self.context.may_read_home() {
             return Ok(());
         }
@@ -30,15 +30,15 @@
         {
             return Ok(());
         }
-        Err(Attempt::plan().refuse_once(Refuse::NotOwned).of_key())
+        Err(Attempt::plan().refuse_once(OnceRefusal::NotOwned).of_key())
     }
 
-    pub(super) fn place(&self, key: &OnceKey) -> Place {
+    pub(super) fn place(&self, key: &OnceKey) -> Destination {
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
         let home = shared.homes.get(service);
-        place(key, home.as_ref().map(|home| &*home.row), &view, service)
+        destination(key, home.as_ref().map(|home| &*home.row), &view, service)
     }
 
     /// Counts an attempt as sent to the only instance that may take it, unless
@@ -64,7 +64,7 @@
         let Some(once) = &self.head().once else {
             return Err(failed);
         };
-        if failed.reason() == Reason::Once(Refuse::WrongOwner) {
+        if failed.reason() == Reason::Once(OnceRefusal::WrongOwner) {
             return Box::pin(self.follow(&once.key, failed)).await;
         }
         let lost = matches!(
@@ -76,7 +76,7 @@
         }
         let asked = Box::pin(self.inquire(target, &once.key)).await;
         match asked {
-            Err(answer) if answer.reason() == Reason::Once(Refuse::Unseen) => Err(failed),
+            Err(answer) if answer.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
             Err(answer) => Err(answer.after(Verdict::MayHaveRun)),
             other => other,
         }
--- a/src/guard/announced.rs
+++ b/src/guard/announced.rs
@@ -6,7 +6,7 @@
 
 use super::{Guard, Lease, LeaseState};
 use crate::model::{Born, ServerId, Slots};
-use crate::policy::member::{Announcement, Presented};
+use crate::policy::member::{Announcement, AnnouncementEffect};
 
 impl Guard {
     /// Returns whether the backend server takes calls.
@@ -31,18 +31,18 @@
 
     /// Takes an announcement of one run of the backend server, which may come
     /// late or out of order.
-    pub fn hear(&self, news: &Announcement) -> Presented {
+    pub fn hear(&self, news: &Announcement) -> AnnouncementEffect {
         let change = self.presence.lock().announce(news);
-        if change != Presented::Renewed {
+        if change != AnnouncementEffect::Renewed {
             self.shared.announced.notify_one();
         }
         match change {
-            Presented::Old => {}
-            Presented::Leaving => self.drain(),
+            AnnouncementEffect::Stale => {}
+            AnnouncementEffect::Leaving => self.drain(),
             // What an operator has drained is not opened by a renewal.
-            Presented::Renewed if self.lease_state() == LeaseState::Leaving => {}
-            Presented::Arrived => self.arrived(news),
-            Presented::Stays | Presented::Renewed => {
+            AnnouncementEffect::Renewed if self.lease_state() == LeaseState::Leaving => {}
+            AnnouncementEffect::Arrived => self.arrived(news),
+            AnnouncementEffect::Resumed | AnnouncementEffect::Renewed => {
                 self.take_slots(news.slots);
                 if !self.stopping.load(Ordering::Relaxed) {
                     self.announce(news.cold);
@@ -73,7 +73,7 @@
 
     /// Takes note that a run of the backend server has ended or is about to.
     pub fn depart(&self, server: &ServerId, born: Option<Born>) {
-        if self.presence.lock().depart(server, born) {
+        if self.presence.lock().record_goodbye(server, born) {
             self.drain();
             self.shared.announced.notify_one();
         }
@@ -91,7 +91,7 @@
 
     pub(super) fn displaced(&self, meant: Option<&ServerId>, found: Option<&ServerId>) {
         if let Some(meant) = meant {
-            self.presence.lock().displaced(meant, found);
+            self.presence.lock().record_mismatch(meant, found);
             *self.lease.lock() = Lease::absent();
         }
     }
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -69,7 +69,7 @@
     fn told(&self) -> Option<Told> {
         let rate = self.gate.rate();
         let presence = self.presence.lock();
-        let leaving = presence.leaves();
+        let leaving = presence.is_leaving();
         if rate.is_none() && !leaving {
             return None;
         }
@@ -79,7 +79,7 @@
 
     /// Sends a run nothing more that said with an answer that it leaves.
     fn leave_for_good(&self, run: RunId) {
-        if !self.presence.lock().leave(run) {
+        if !self.presence.lock().record_leaving(run) {
             return;
         }
         self.drain();
--- a/src/guard/once.rs
+++ b/src/guard/once.rs
@@ -9,12 +9,14 @@
 
 use crate::call::{CallHead, Refusal};
 use crate::model::{MintTime, OnceKey, Retries};
-use crate::policy::once::{Begin, Kept, Ledger, LedgerLimits, Refuse, State};
+use crate::policy::once::{
+    KeyState, Ledger, LedgerLimits, OnceDecision, OnceRefusal, StoredAnswer,
+};
 
 /// How a run of a once call ended.
 #[derive(Clone, Debug)]
 pub(super) struct Done {
-    pub(super) result: Result<Kept, Refusal>,
+    pub(super) result: Result<StoredAnswer, Refusal>,
     /// Retries that go home to the attempt that started the run.
     pub(super) account: Retries,
 }
@@ -26,9 +28,9 @@
     /// Wait for the run that is under way.
     Attach(Ending),
     /// Give this answer.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// Refuse it.
-    Refuse(Refuse),
+    Refuse(OnceRefusal),
 }
 
 /// Receives the end of a run.
@@ -63,19 +65,19 @@
     pub(super) fn enter(&self, now: MintTime, key: &OnceKey, hash: u64) -> Entered {
         let mut inner = self.inner.lock();
         let begin = inner.ledger.begin(now, key, hash);
-        let resumed = begin == Begin::Resume;
+        let resumed = begin == OnceDecision::Resume;
         match begin {
-            Begin::Start | Begin::Resume => {
+            OnceDecision::Start | OnceDecision::Resume => {
                 let (sender, end) = watch::channel(None);
                 inner.running.insert(key.clone(), sender);
                 Entered::Run { resumed, end }
             }
-            Begin::Attach => match inner.running.get(key) {
+            OnceDecision::Attach => match inner.running.get(key) {
                 Some(sender) => Entered::Attach(sender.subscribe()),
-                None => Entered::Refuse(Refuse::OutcomeLost),
+                None => Entered::Refuse(OnceRefusal::OutcomeLost),
             },
-            Begin::Answer(kept) => Entered::Answer(kept),
-            Begin::Refuse(refuse) => Entered::Refuse(refuse),
+            OnceDecision::Answer(kept) => Entered::Answer(kept),
+            OnceDecision::Refuse(refuse) => Entered::Refuse(refuse),
         }
     }
 
@@ -83,14 +85,14 @@
     pub(super) fn inquire(&self, key: &OnceKey) -> Entered {
         let inner = self.inner.lock();
         match inner.ledger.get(key).map(|entry| &entry.state) {
-            Some(State::Running) => match inner.running.get(key) {
+            Some(KeyState::Running) => match inner.running.get(key) {
                 Some(sender) => Entered::Attach(sender.subscribe()),
-                None => Entered::Refuse(Refuse::OutcomeLost),
+                None => Entered::Refuse(OnceRefusal::OutcomeLost),
             },
-            Some(State::Done(kept)) if kept.body.is_some() => Entered::Answer(kept.clone()),
-            Some(State::Done(_)) => Entered::Refuse(Refuse::AnswerNotKept),
-            Some(State::Unknown) => Entered::Refuse(Refuse::OutcomeLost),
-            Some(State::Claimed) | None => Entered::Refuse(Refuse::Unseen),
+            Some(KeyState::Done(kept)) if kept.body.is_some() => Entered::Answer(kept.clone()),
+            Some(KeyState::Done(_)) => Entered::Refuse(OnceRefusal::AnswerNotKept),
+            Some(KeyState::Unknown) => Entered::Refuse(OnceRefusal::OutcomeLost),
+            Some(KeyState::Claimed) | None => Entered::Refuse(OnceRefusal::Unseen),
         }
     }
 
@@ -99,9 +101,9 @@
         let mut inner = self.inner.lock();
         match (change, &done.result) {
             (Change::Finish, Ok(kept)) => inner.ledger.finish(key, kept.clone()),
-            (Change::Finish | Change::Lose, _) => inner.ledger.lose(key),
+            (Change::Finish | Change::Lose, _) => inner.ledger.mark_lost(key),
             (Change::Release, _) => inner.ledger.release(key),
-            (Change::Retract, _) => inner.ledger.retract(key),
+            (Change::Retract, _) => inner.ledger.remove(key),
         }
         if let Some(sender) = inner.running.remove(key) {
             sender.send_replace(Some(done));
@@ -114,7 +116,7 @@
     }
 
     /// Returns the entries and the bound of forgotten keys, for a hand-over.
-    pub fn export(&self) -> (Vec<(OnceKey, State, u64)>, MintTime) {
+    pub fn export(&self) -> (Vec<(OnceKey, KeyState, u64)>, MintTime) {
         let inner = self.inner.lock();
         let entries = inner
             .ledger
@@ -129,7 +131,7 @@
     pub fn adopt(
         &self,
         now: MintTime,
-        entries: Vec<(OnceKey, State, u64)>,
+        entries: Vec<(OnceKey, KeyState, u64)>,
         forgotten: MintTime,
     ) -> bool {
         let mut inner = self.inner.lock();
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -13,7 +13,7 @@
 use crate::call::{Attempt, CallHead, OnceCall, Planned, Reason, Refusal, Reply, ReplyHead};
 use crate::model::{Instance, OnceKey, Retries};
 use crate::policy::once::{
-    Claim, ClaimCheck, Kept, Nonce, Refuse, authority, claim_key, judge_claim,
+    Claim, ClaimCheck, Nonce, OnceRefusal, StoredAnswer, check_claim, check_owner, claim_row_key,
 };
 use crate::store::{Condition, Settled, settle};
 use crate::tables::{Held, mint_now};
@@ -95,7 +95,7 @@
         }
     }
 
-    fn kept(&self, kept: Kept, account: Retries, again: bool) -> Reply {
+    fn kept(&self, kept: StoredAnswer, account: Retries, again: bool) -> Reply {
         let mut headers = HeaderMap::new();
         for (name, value) in &kept.headers {
             if let (Ok(name), Ok(value)) = (
@@ -120,10 +120,10 @@
         }
     }
 
-    fn authority(&self, key: &OnceKey) -> Result<(), Refuse> {
+    fn authority(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
         let home = self.shared.homes.get(self.service());
         let row = home.as_ref().map(|home| &*home.row);
-        authority(key, self.shared.instance, row)
+        check_owner(key, self.shared.instance, row)
     }
 
     async fn run_once(self: Arc<Self>, head: CallHead, once: OnceCall, body: Bytes, resumed: bool) {
@@ -196,7 +196,7 @@
             nonce: Nonce(rand::random()),
         };
         let content = serde_json::to_vec(&claim).unwrap_or_default().into();
-        let name = claim_key(self.service(), key);
+        let name = claim_row_key(self.service(), key);
         let table = self.shared.platform.as_ref();
         let lost = |refuse, change, owner| {
             Err(ClaimLost {
@@ -209,18 +209,18 @@
             Settled::Written(_) => return Ok(()),
             Settled::Lost(row) => row,
             Settled::NotSent(_) | Settled::Unsettled(_) => {
-                return lost(Refuse::NoPlatform, Change::Release, None);
+                return lost(OnceRefusal::NoPlatform, Change::Release, None);
             }
         };
         let found = row.and_then(|row| serde_json::from_slice(&row.content).ok());
-        match found.map(|found| judge_claim(found, own, claim.nonce)) {
+        match found.map(|found| check_claim(found, own, claim.nonce)) {
             Some(ClaimCheck::Won) => Ok(()),
             Some(ClaimCheck::OwnEarlier) if resumed => Ok(()),
-            Some(ClaimCheck::OwnEarlier) => lost(Refuse::Forgotten, Change::Retract, None),
+            Some(ClaimCheck::OwnEarlier) => lost(OnceRefusal::Forgotten, Change::Retract, None),
             Some(ClaimCheck::Other(owner)) => {
-                lost(Refuse::WrongOwner, Change::Retract, Some(owner))
+                lost(OnceRefusal::WrongOwner, Change::Retract, Some(owner))
             }
-            None => lost(Refuse::OutcomeLost, Change::Retract, None),
+            None => lost(OnceRefusal::OutcomeLost, Change::Retract, None),
         }
     }
 
@@ -243,13 +243,13 @@
 
 /// A key that this instance could not claim.
 struct ClaimLost {
-    refuse: Refuse,
+    refuse: OnceRefusal,
     change: Change,
     owner: Option<Instance>,
 }
 
 impl Answered {
-    fn into_kept(self) -> Kept {
+    fn into_kept(self) -> StoredAnswer {
         let headers = self
             .headers
             .iter()
@@ -262,7 +262,7 @@
             AnswerBody::Whole(bytes) => Some(bytes),
             AnswerBody::Large(..) => None,
         };
-        Kept {
+        StoredAnswer {
             status: self.status.as_u16(),
             headers,
             body,
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -48,7 +48,7 @@
         };
         let limits = LedgerLimits {
             bytes: 8 * 1024 * 1024,
-            memory: Duration::from_secs(24 * 3600),
+            retention: Duration::from_secs(24 * 3600),
         };
         let backend = Backend::new(shared.config.backend);
         Arc::new(Self {
@@ -101,7 +101,7 @@
         self.gate.share(sharing.map(weights));
         self.once.set_limits(LedgerLimits {
             bytes: estate.once.ledger_bytes.get() as usize,
-            memory: estate.once.memory.get(),
+            retention: estate.once.memory.get(),
         });
     }
 
--- a/src/peer/ledger.rs
+++ b/src/peer/ledger.rs
@@ -9,7 +9,7 @@
 use super::pool::Pool;
 use crate::error::Error;
 use crate::model::{Instance, MintTime, OnceKey};
-use crate::policy::once::{Kept, State};
+use crate::policy::once::{KeyState, StoredAnswer};
 use crate::tables::Shared;
 
 /// How long the heir may take to answer one message.
@@ -23,7 +23,7 @@
     shared: &Shared,
     pool: &Pool,
     heir: Instance,
-    entries: Vec<(OnceKey, State, u64)>,
+    entries: Vec<(OnceKey, KeyState, u64)>,
     forgotten: MintTime,
 ) -> bool {
     let Some(mut client) = pool.get(heir.address) else {
@@ -52,16 +52,16 @@
     }
 }
 
-fn entry_out((key, state, hash): &(OnceKey, State, u64)) -> wire::LedgerEntry {
+fn entry_out((key, state, hash): &(OnceKey, KeyState, u64)) -> wire::LedgerEntry {
     let mut entry = wire::LedgerEntry {
         once_key: key.to_string(),
         body_hash: *hash,
         ..Default::default()
     };
     match state {
-        State::Claimed => entry.state = CLAIMED.into(),
-        State::Running | State::Unknown => entry.state = UNKNOWN.into(),
-        State::Done(kept) => {
+        KeyState::Claimed => entry.state = CLAIMED.into(),
+        KeyState::Running | KeyState::Unknown => entry.state = UNKNOWN.into(),
+        KeyState::Done(kept) => {
             entry.state = DONE.into();
             entry.status = u32::from(kept.status);
             entry.headers = headers_out(&kept_headers(kept));
@@ -76,7 +76,7 @@
 const UNKNOWN: &str = "unknown";
 const DONE: &str = "done";
 
-fn kept_headers(kept: &Kept) -> HeaderMap {
+fn kept_headers(kept: &StoredAnswer) -> HeaderMap {
     kept.headers
         .iter()
         .filter_map(|(name, value)| {
@@ -88,13 +88,13 @@
 }
 
 /// Reads an entry of a ledger that is handed over.
-pub(super) fn entry_in(entry: wire::LedgerEntry) -> Result<(OnceKey, State, u64), Error> {
+pub(super) fn entry_in(entry: wire::LedgerEntry) -> Result<(OnceKey, KeyState, u64), Error> {
     let key = entry.once_key.parse()?;
     let state = match entry.state.as_str() {
         // A key that was claimed by the instance that stops cannot be started
         // here, since the claim row names that instance.
-        CLAIMED | UNKNOWN => State::Unknown,
-        DONE => State::Done(Kept {
+        CLAIMED | UNKNOWN => KeyState::Unknown,
+        DONE => KeyState::Done(StoredAnswer {
             status: u16::try_from(entry.status).unwrap_or_default(),
             headers: entry
                 .headers
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -3,7 +3,7 @@
 use super::generated as wire;
 use crate::error::Error;
 use crate::model::{ServiceName, Slots};
-use crate::policy::member::{Beat, Member};
+use crate::policy::member::{Incarnation, Member};
 use crate::tables::Home;
 
 /// Writes a home row.
@@ -21,7 +21,7 @@
         instance: member.instance.to_string(),
         centre: member.centre.to_string(),
         service: member.service.to_string(),
-        beat: member.beat.0,
+        beat: member.incarnation.0,
         state: member.state.to_string(),
         slots: member.slots.map_or(0, |slots| slots.get()),
     }
@@ -37,7 +37,7 @@
         instance: member.instance.parse()?,
         centre: member.centre.parse()?,
         service: member.service.parse()?,
-        beat: Beat(member.beat),
+        incarnation: Incarnation(member.beat),
         state: member.state.parse()?,
         slots: (member.slots > 0).then(|| Slots::new(member.slots)),
     })
--- a/src/peer/news.rs
+++ b/src/peer/news.rs
@@ -13,8 +13,8 @@
 use super::suspect::{suspects_in, suspects_out};
 use crate::error::Error;
 use crate::model::{Instance, ServiceName, Version};
-use crate::policy::member::{Change, Member, Offer, Told, View};
-use crate::policy::once::HomeRow;
+use crate::policy::member::{ChangeCount, Member, SyncPosition, VersionDecision, View};
+use crate::policy::once::OwnershipRow;
 use crate::store::Revision;
 use crate::tables::Shared;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchanged {
     /// How far the two sides have told each other.
-    pub told: Told,
+    pub told: SyncPosition,
     /// Whether both views are the same.
     pub same: bool,
     /// The instance that answered.
@@ -44,7 +44,7 @@
     shared: &Shared,
     pool: &Pool,
     address: SocketAddr,
-    told: Told,
+    told: SyncPosition,
 ) -> Result<Exchanged, ExchangeError> {
     let (request, sent) = request(shared, told);
     let answer = ask(pool, address, request).await?;
@@ -52,32 +52,32 @@
         .from
         .parse()
         .map_err(|e: Error| ExchangeError(e.to_string().into()))?;
-    shared.term.lock().heard(Instant::now());
+    shared.term.lock().record_answer(Instant::now());
     let members = read_members(&answer.members);
     if members.len() < FIRST_PAGE {
         // The neighbour has told all that it knows.
         shared.readiness.found();
     }
     let known = take_members(shared, |view, now| {
-        view.merge_told(now, members.into_iter(), sent.members)
+        view.merge_reply(now, members.into_iter(), sent.members)
     });
     let same = shared.view.lock().digest() == answer.digest;
     take_homes(shared, &answer.homes);
     shared.take_suspects(&suspects_in(&answer.suspects));
-    if shared.current.offer(Version::new(answer.version)) == Offer::Take {
+    if shared.current.offer(Version::new(answer.version)) == VersionDecision::Apply {
         fetch(shared, pool, address, &answer).await?;
     }
-    let told = Told {
-        ours: Some(known),
-        theirs: Change(answer.change),
-        homes: Change(answer.homes_change),
+    let told = SyncPosition {
+        sent: Some(known),
+        received: ChangeCount(answer.change),
+        homes_received: ChangeCount(answer.homes_change),
         // Another run of the daemon knows nothing of what was told before.
-        suspects: match told.of {
-            Some(of) if of != instance => Change::default(),
+        suspects_sent: match told.instance {
+            Some(of) if of != instance => ChangeCount::default(),
             _ => sent.suspects,
         },
-        suspects_of: Change(answer.suspects_change),
-        of: Some(instance),
+        suspects_received: ChangeCount(answer.suspects_change),
+        instance: Some(instance),
     };
     Ok(Exchanged {
         told,
@@ -108,30 +108,30 @@
 
 /// Up to which changes a request tells.
 struct Sent {
-    members: Change,
-    suspects: Change,
+    members: ChangeCount,
+    suspects: ChangeCount,
 }
 
-fn request(shared: &Shared, told: Told) -> (wire::ExchangeRequest, Sent) {
-    let (suspects, suspects_change) = shared.suspects.changed(told.suspects);
+fn request(shared: &Shared, told: SyncPosition) -> (wire::ExchangeRequest, Sent) {
+    let (suspects, suspects_change) = shared.suspects.changed(told.suspects_sent);
     let homes_digest = shared.homes.digest();
     let version = shared.current.version().get();
     let view = shared.view.lock();
-    let page = view.page(told.ours.unwrap_or_default(), PAGE, &[]);
+    let page = view.page(told.sent.unwrap_or_default(), PAGE, &[]);
     let request = wire::ExchangeRequest {
         from: shared.instance.to_string(),
         members: page.members.iter().map(member_out).collect(),
         version,
         want: Vec::new(),
-        seen: told.theirs.0,
-        homes_seen: told.homes.0,
-        seen_of: told.of.map_or(String::new(), |of| of.to_string()),
+        seen: told.received.0,
+        homes_seen: told.homes_received.0,
+        seen_of: told.instance.map_or(String::new(), |of| of.to_string()),
         homes_digest,
         suspects: suspects_out(&suspects),
-        suspects_seen: told.suspects_of.0,
+        suspects_seen: told.suspects_received.0,
     };
     let sent = Sent {
-        members: page.at,
+        members: page.change,
         suspects: suspects_change,
     };
     (request, sent)
@@ -159,7 +159,7 @@
 fn take_homes(shared: &Shared, homes: &[wire::HomeRow]) {
     for home in homes {
         let service: Result<ServiceName, _> = home.key.parse();
-        if let (Ok(service), Ok(row)) = (service, HomeRow::decode(&home.content)) {
+        if let (Ok(service), Ok(row)) = (service, OwnershipRow::decode(&home.content)) {
             shared.homes.take(&service, Revision(home.revision), row);
         }
     }
@@ -188,9 +188,9 @@
     let known = request.seen_of == shared.instance.to_string();
     let since = |seen: u64| {
         if known {
-            Change(seen)
+            ChangeCount(seen)
         } else {
-            Change::default()
+            ChangeCount::default()
         }
     };
     let (homes, homes_change) = shared.homes.changed(since(request.homes_seen));
@@ -202,7 +202,7 @@
         from: shared.instance.to_string(),
         digest: view.digest(),
         members: page.members.iter().map(member_out).collect(),
-        change: page.at.0,
+        change: page.change.0,
         version: version.get(),
         manifest: match &in_force {
             Some(in_force) if sender < version => in_force.manifest.encode().into(),
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -257,7 +257,7 @@
         let planned = Attempt::with_id(attempt);
         if !self.meant(&message.instance) {
             // The instance that was asked is gone; this one knows nothing.
-            let refusal = planned.refuse_once(crate::policy::once::Refuse::OwnerLost);
+            let refusal = planned.refuse_once(crate::policy::once::OnceRefusal::OwnerLost);
             return Ok(answer(attempt, Err(refusal)));
         }
         let wait = Duration::from_millis(u64::from(message.wait_ms));
--- a/src/platform/beat.rs
+++ b/src/platform/beat.rs
@@ -12,7 +12,7 @@
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::model::{Born, ServerId, ServiceName, Slots};
-use crate::policy::member::{Announcement, Intent, Presented};
+use crate::policy::member::{Announcement, AnnouncementEffect, Intent};
 use crate::web::{CallerAnswer, Listening, caller_text, listen};
 
 /// What the paths of announcements begin with; the server's id follows.
@@ -56,7 +56,7 @@
     fn announcement(&self, server: ServerId) -> Announcement {
         Announcement {
             server,
-            born: self.born.map(Born::from_millis),
+            start: self.born.map(Born::from_millis),
             intent: match self.state {
                 BeatState::Ready => Intent::Serve,
                 BeatState::Draining => Intent::Leave,
@@ -142,11 +142,11 @@
     }
     let change = guard.hear(news);
     let told = match change {
-        Presented::Renewed => return acknowledged(),
-        Presented::Arrived => "arrived",
-        Presented::Stays => "stays",
-        Presented::Leaving => "leaving",
-        Presented::Old => "old news",
+        AnnouncementEffect::Renewed => return acknowledged(),
+        AnnouncementEffect::Arrived => "arrived",
+        AnnouncementEffect::Resumed => "stays",
+        AnnouncementEffect::Leaving => "leaving",
+        AnnouncementEffect::Stale => "old news",
     };
     spdlog::info!("backend server announced", kv: {
         server = server.as_str(), change = told, sequence = news.sequence
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -11,7 +11,7 @@
 use crate::guard::Guard;
 use crate::model::Version;
 use crate::peer::put_in_force;
-use crate::policy::member::{Offer, read_chance};
+use crate::policy::member::{VersionDecision, read_probability};
 use crate::store::{Feed, Row};
 use crate::tables::Shared;
 use crate::task::{Followed, follow};
@@ -54,12 +54,12 @@
     }
     let view = shared.view.lock();
     let known = view.members().len() > 1;
-    known && rand::rng().random_bool(read_chance(&view))
+    known && rand::rng().random_bool(read_probability(&view))
 }
 
 fn take(shared: &Shared, guard: &Guard, row: &Row) -> Result<(), Error> {
     let operated = read_document(&row.content)?;
-    if shared.current.offer(operated.version) != Offer::Take {
+    if shared.current.offer(operated.version) != VersionDecision::Apply {
         return Ok(());
     }
     let documents = split(&operated.estate);
--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -6,7 +6,7 @@
 
 use super::{Standing, Strike, Suspect};
 use crate::model::{CrashId, Fingerprint};
-use crate::policy::member::Change;
+use crate::policy::member::ChangeCount;
 
 /// Most requests that are remembered, of some 200 bytes each. One crash brings
 /// as many as its server has slots, some hundred.
@@ -15,8 +15,8 @@
 /// The requests that were under way at crashes, bounded in number and time.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    known: HashMap<u128, (Suspect, Change)>,
-    change: Change,
+    known: HashMap<u128, (Suspect, ChangeCount)>,
+    change: ChangeCount,
 }
 
 impl Suspects {
@@ -98,9 +98,9 @@
     }
 
     /// Returns what changed after `since`, and the count of changes.
-    pub fn changed(&self, now: Instant, since: Change) -> (Vec<Suspect>, Change) {
+    pub fn changed(&self, now: Instant, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
         let later =
-            |(suspect, change): &&(Suspect, Change)| *change > since && !suspect.is_over(now);
+            |(suspect, change): &&(Suspect, ChangeCount)| *change > since && !suspect.is_over(now);
         let suspects = self.known.values().filter(later);
         let suspects = suspects.map(|(suspect, _)| suspect.clone()).collect();
         (suspects, self.change)
@@ -124,7 +124,7 @@
     /// Puts a suspect back, as a change where something is new.
     fn put(&mut self, suspect: Suspect, new: bool) {
         if new {
-            self.change = Change(self.change.0 + 1);
+            self.change = ChangeCount(self.change.0 + 1);
             self.known.insert(suspect.asked, (suspect, self.change));
         }
     }
--- a/src/policy/member/budget.rs
+++ b/src/policy/member/budget.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 /// Shortest wait after a platform request failed.
-const BASE: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest wait after platform requests failed.
-const MAX: Duration = Duration::from_secs(20);
+const MAX_BACKOFF: Duration = Duration::from_secs(20);
 
 /// A token bucket over requests to the platform, with back-off after failures.
 ///
@@ -21,8 +21,8 @@
     tokens: f64,
     filled: Instant,
     failures: u32,
-    longest: Duration,
-    blocked: Option<Instant>,
+    max_backoff: Duration,
+    blocked_until: Option<Instant>,
 }
 
 impl Budget {
@@ -34,22 +34,22 @@
             tokens: burst,
             filled: now,
             failures: 0,
-            longest: MAX,
-            blocked: None,
+            max_backoff: MAX_BACKOFF,
+            blocked_until: None,
         }
     }
 
     /// Makes a budget that waits at most `longest` after failures.
-    pub fn capped(now: Instant, rate: f64, burst: f64, longest: Duration) -> Self {
+    pub fn with_max_backoff(now: Instant, rate: f64, burst: f64, max_backoff: Duration) -> Self {
         Self {
-            longest,
+            max_backoff,
             ..Self::new(now, rate, burst)
         }
     }
 
     /// Takes leave for one request, if there is any now.
-    pub fn take(&mut self, now: Instant) -> bool {
-        if self.blocked.is_some_and(|until| now < until) {
+    pub fn try_take(&mut self, now: Instant) -> bool {
+        if self.blocked_until.is_some_and(|until| now < until) {
             return false;
         }
         let age = now.saturating_duration_since(self.filled).as_secs_f64();
@@ -63,16 +63,16 @@
     }
 
     /// Takes note that the platform answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.failures = 0;
-        self.blocked = None;
+        self.blocked_until = None;
     }
 
     /// Takes note that the platform did not answer; the next request waits
     /// longer each time, spread at random.
-    pub fn failed<R: Rng>(&mut self, now: Instant, rng: &mut R) {
-        let wait = (BASE * 2u32.saturating_pow(self.failures.min(16))).min(self.longest);
+    pub fn record_failure<R: Rng>(&mut self, now: Instant, rng: &mut R) {
+        let wait = (MIN_BACKOFF * 2u32.saturating_pow(self.failures.min(16))).min(self.max_backoff);
         self.failures += 1;
-        self.blocked = Some(now + wait.mul_f64(rng.random_range(0.5..1.5)));
+        self.blocked_until = Some(now + wait.mul_f64(rng.random_range(0.5..1.5)));
     }
 }
--- a/src/policy/member/mod.rs
+++ b/src/policy/member/mod.rs
@@ -1,21 +1,21 @@
 //! Who is in the estate, who watches whom, and which configuration is in force.
 
 mod budget;
-mod duty;
 mod link;
 mod neighbours;
-mod news;
 mod presence;
 mod ranks;
+mod record;
+mod role;
 mod rollout;
 mod view;
 
 pub use budget::Budget;
-pub use duty::{Duty, DutyTerm};
-pub use link::{Link, LinkEvent, Told};
-pub use neighbours::{Neighbours, is_delegate, neighbours, read_chance};
-pub use news::{Beat, Member, MemberState};
-pub use presence::{Announcement, Intent, Presence, Presented};
-pub use ranks::Ranks;
-pub use rollout::{Offer, Rollout};
-pub use view::{Change, Page, View};
+pub use link::{Link, LinkEvent, SyncPosition};
+pub use neighbours::{Neighbours, is_delegate, neighbours, read_probability};
+pub use presence::{Announcement, AnnouncementEffect, Intent, Presence};
+pub use ranks::RankedMembers;
+pub use record::{Incarnation, Member, MemberState};
+pub use role::{RoleTracker, StoreRole};
+pub use rollout::{Rollout, VersionDecision};
+pub use view::{ChangeCount, Page, View};
--- a/src/policy/member/neighbours.rs
+++ b/src/policy/member/neighbours.rs
@@ -8,8 +8,8 @@
 const DELEGATES: usize = 4;
 
 /// Seeds of the points on the ring across which further connections go.
-const ACROSS: u64 = 1;
-const FAR: u64 = 2;
+const NEAR_SEED: u64 = 1;
+const FAR_SEED: u64 = 2;
 
 /// The standing connections of one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,11 +42,11 @@
     let instance = own.instance;
     let others = |hash| {
         view.running()
-            .from(&own.centre, hash)
+            .ring_from(&own.centre, hash)
             .filter(|i| *i != instance)
     };
     let watched = others(rank_hash(instance)).next();
-    let near = others(instance.hash(ACROSS)).find(|i| Some(*i) != watched);
+    let near = others(instance.hash(NEAR_SEED)).find(|i| Some(*i) != watched);
     Neighbours {
         watched,
         near,
@@ -56,7 +56,7 @@
 
 fn far(view: &View) -> Vec<Instance> {
     let own = view.own();
-    let hash = own.instance.hash(FAR);
+    let hash = own.instance.hash(FAR_SEED);
     let centres = view.running().centres();
     let others: Vec<&CentreName> = centres.filter(|c| **c != own.centre).collect();
     if others.is_empty() {
@@ -70,14 +70,14 @@
     }
     chosen
         .into_iter()
-        .filter_map(|place| view.running().from(others[place], hash).next())
+        .filter_map(|place| view.running().ring_from(others[place], hash).next())
         .collect()
 }
 
 /// Returns the chance with which a daemon that has no configuration reads it from
 /// the store, so that in a start of all as many of each data centre read it at a
 /// time whatever its size.
-pub fn read_chance(view: &View) -> f64 {
+pub fn read_probability(view: &View) -> f64 {
     let members = view.running().members(&view.own().centre).count();
     DELEGATES as f64 / members.max(DELEGATES) as f64
 }
--- a/src/policy/member/presence.rs
+++ b/src/policy/member/presence.rs
@@ -6,7 +6,7 @@
 
 /// Runs that are remembered as gone, so that late news of them is known to be
 /// old. A VM sees a few runs a day.
-const GONE: usize = 64;
+const MAX_GONE: usize = 64;
 
 /// Whether a backend server takes calls, as it announces itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     pub server: ServerId,
     /// When this run of it started, if it says so; a server may start again
     /// under its id.
-    pub born: Option<Born>,
+    pub start: Option<Born>,
     /// Whether it takes calls.
     pub intent: Intent,
     /// Calls that it runs at one time.
@@ -37,35 +37,35 @@
 
 /// What an announcement changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presented {
+pub enum AnnouncementEffect {
     /// Another run has taken the place.
     Arrived,
     /// The run that was leaving stays after all.
-    Stays,
+    Resumed,
     /// The same run is still there.
     Renewed,
     /// The run takes no new calls.
     Leaving,
     /// The announcement is older than what is known.
-    Old,
+    Stale,
 }
 
 /// One run of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Run {
     server: ServerId,
-    born: Option<Born>,
+    start: Option<Born>,
 }
 
 impl Run {
     fn id(&self) -> RunId {
-        RunId::of(&self.server, self.born)
+        RunId::of(&self.server, self.start)
     }
 
     /// Tells whether this run is of the same server and started later, by what
     /// both say of their start.
     fn follows(&self, other: &Self) -> bool {
-        let later = matches!((self.born, other.born), (Some(own), Some(born)) if own > born);
+        let later = matches!((self.start, other.start), (Some(own), Some(born)) if own > born);
         later && self.server == other.server
     }
 }
@@ -77,7 +77,7 @@
     intent: Intent,
     /// Whether it said with an answer that it leaves, which holds to its end:
     /// announcements come late, and older ones may say otherwise.
-    leaves: bool,
+    leaving: bool,
 }
 
 /// Orders announcements that may come late, twice or from a run that is gone.
@@ -103,77 +103,77 @@
 
     /// Tells whether the present run leaves for good: it said so with an answer,
     /// or has said goodbye.
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         let mut present = self.present.iter();
-        present.any(|present| present.leaves || self.gone.contains(&present.run))
+        present.any(|present| present.leaving || self.gone.contains(&present.run))
     }
 
     /// Takes note that a run said with an answer that it leaves; returns whether
     /// that is news of the run that is present.
-    pub fn leave(&mut self, run: RunId) -> bool {
+    pub fn record_leaving(&mut self, run: RunId) -> bool {
         let Some(present) = &mut self.present else {
             return false;
         };
-        let is_news = present.run.id() == run && !present.leaves;
+        let is_news = present.run.id() == run && !present.leaving;
         if is_news {
-            present.leaves = true;
+            present.leaving = true;
             present.intent = Intent::Leave;
         }
         is_news
     }
 
     /// Takes an announcement.
-    pub fn announce(&mut self, news: &Announcement) -> Presented {
+    pub fn announce(&mut self, news: &Announcement) -> AnnouncementEffect {
         let run = Run {
             server: news.server.clone(),
-            born: news.born,
+            start: news.start,
         };
         if self.is_gone(&run) {
-            return Presented::Old;
+            return AnnouncementEffect::Stale;
         }
         let last = self.present.as_ref();
         let same = last.filter(|last| last.run.server == run.server && !run.follows(&last.run));
         if same.is_some_and(|last| last.run.follows(&run) || news.sequence <= last.sequence) {
-            return Presented::Old;
+            return AnnouncementEffect::Stale;
         }
         let before = same.map(|last| last.intent);
-        let leaves = same.is_some_and(|last| last.leaves);
-        let intent = if leaves { Intent::Leave } else { news.intent };
+        let leaving = same.is_some_and(|last| last.leaving);
+        let intent = if leaving { Intent::Leave } else { news.intent };
         if before.is_none()
             && let Some(replaced) = self.present.take()
         {
-            self.bury(replaced.run);
+            self.retire(replaced.run);
         }
         self.present = Some(Present {
             run,
             sequence: news.sequence,
             intent,
-            leaves,
+            leaving,
         });
         match (intent, before) {
-            (Intent::Leave, _) => Presented::Leaving,
-            (Intent::Serve, Some(Intent::Serve)) => Presented::Renewed,
-            (Intent::Serve, Some(Intent::Leave)) => Presented::Stays,
-            (Intent::Serve, None) => Presented::Arrived,
+            (Intent::Leave, _) => AnnouncementEffect::Leaving,
+            (Intent::Serve, Some(Intent::Serve)) => AnnouncementEffect::Renewed,
+            (Intent::Serve, Some(Intent::Leave)) => AnnouncementEffect::Resumed,
+            (Intent::Serve, None) => AnnouncementEffect::Arrived,
         }
     }
 
     /// Takes note that a server has said goodbye, and of which run if it told;
     /// returns whether it was the one that is present.
-    pub fn depart(&mut self, server: &ServerId, born: Option<Born>) -> bool {
+    pub fn record_goodbye(&mut self, server: &ServerId, start: Option<Born>) -> bool {
         let goodbye = Run {
             server: server.clone(),
-            born,
+            start,
         };
         let present = self.present.as_ref().map(|present| present.run.clone());
         match present.filter(|run| run.server == *server) {
             Some(run) if run.follows(&goodbye) => false,
             Some(run) => {
-                self.bury(run);
+                self.retire(run);
                 true
             }
             None => {
-                self.bury_unheard(goodbye);
+                self.retire_unseen(goodbye);
                 false
             }
         }
@@ -181,7 +181,7 @@
 
     /// Takes note that a call meant for `server` met another one at its
     /// address, with its id if it told.
-    pub fn displaced(&mut self, server: &ServerId, found: Option<&ServerId>) {
+    pub fn record_mismatch(&mut self, server: &ServerId, found: Option<&ServerId>) {
         if let Some(found) = found {
             self.gone.retain(|gone| gone.server != *found);
         }
@@ -189,16 +189,16 @@
             .present
             .take_if(|present| present.run.server == *server)
         {
-            Some(present) => self.bury(present.run),
-            None => self.bury_unheard(Run {
+            Some(present) => self.retire(present.run),
+            None => self.retire_unseen(Run {
                 server: server.clone(),
-                born: None,
+                start: None,
             }),
         }
     }
 
     /// Tells whether the run that is present takes calls.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.present.as_ref().is_some_and(|present| {
             present.intent == Intent::Serve && !self.gone.contains(&present.run)
         })
@@ -213,24 +213,24 @@
 
     /// Buries a run that is not present. Where its start is not known, it is
     /// taken to have started before the present one.
-    fn bury_unheard(&mut self, run: Run) {
+    fn retire_unseen(&mut self, run: Run) {
         let known = self.gone.iter().any(|gone| gone.server == run.server);
-        if known && run.born.is_none() {
+        if known && run.start.is_none() {
             return;
         }
-        let present = self.present.as_ref().and_then(|present| present.run.born);
-        self.bury(Run {
-            born: run.born.or(present),
+        let present = self.present.as_ref().and_then(|present| present.run.start);
+        self.retire(Run {
+            start: run.start.or(present),
             ..run
         });
     }
 
-    fn bury(&mut self, run: Run) {
+    fn retire(&mut self, run: Run) {
         if self.gone.contains(&run) {
             return;
         }
         self.gone.push_back(run);
-        if self.gone.len() > GONE {
+        if self.gone.len() > MAX_GONE {
             self.gone.pop_front();
         }
     }
--- a/src/policy/member/ranks.rs
+++ b/src/policy/member/ranks.rs
@@ -14,11 +14,11 @@
 /// A member that comes or goes changes one entry, and whoever stands next to a
 /// place is found without a look at the others.
 #[derive(Clone, Debug, Default)]
-pub struct Ranks {
+pub struct RankedMembers {
     centres: BTreeMap<CentreName, BTreeMap<Rank, Instance>>,
 }
 
-impl Ranks {
+impl RankedMembers {
     pub(super) fn insert(&mut self, centre: &CentreName, instance: Instance) {
         let members = match self.centres.get_mut(centre) {
             Some(members) => members,
@@ -51,7 +51,7 @@
 
     /// Returns the members of a data centre in order of rank, from the first
     /// whose hash lies beyond `hash` on, once round.
-    pub fn from(&self, centre: &CentreName, hash: u64) -> impl Iterator<Item = Instance> + '_ {
+    pub fn ring_from(&self, centre: &CentreName, hash: u64) -> impl Iterator<Item = Instance> + '_ {
         let members = self.centres.get(centre);
         members.into_iter().flat_map(move |members| {
             let beyond = (Bound::Excluded((hash, last_address())), Bound::Unbounded);
--- a/src/policy/member/news.rs
+++ b/src/policy/member/record.rs
@@ -13,7 +13,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Beat(pub u64);
+pub struct Incarnation(pub u64);
 
 /// Whether an instance takes calls; later states override earlier ones of the
 /// same beat.
@@ -83,7 +83,8 @@
     /// The service of its backend server.
     pub service: ServiceName,
     /// The order of this news among others of the instance.
-    pub beat: Beat,
+    #[serde(rename = "beat")]
+    pub incarnation: Incarnation,
     /// Whether it takes calls.
     pub state: MemberState,
     /// Calls that its backend server runs at one time, as that announces; by
@@ -95,6 +96,6 @@
 impl Member {
     /// Tells whether this news of one instance overrides `other`.
     pub fn overrides(&self, other: &Self) -> bool {
-        (self.beat, self.state) > (other.beat, other.state)
+        (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 }
--- a/src/policy/member/duty.rs
+++ b/src/policy/member/role.rs
@@ -12,27 +12,27 @@
 
 /// How long a daemon must come first before it acts for its data centre, so that
 /// in a start of all, while views fill, not each does so in turn.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// How long one that no longer comes first still acts, until the one that does
 /// has settled.
-const LINGER: Duration = Duration::from_secs(3);
+const LINGER_TIME: Duration = Duration::from_secs(3);
 /// After this long without an answer of any neighbour a daemon is cut off: one and
 /// a half times what lies between two questions to them. A version of the
 /// configuration is then still read within two seconds of its acceptance.
-const CUT_OFF: Duration = Duration::from_millis(1500);
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// For whom a daemon uses the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum StoreRole {
     /// For nobody: others of its data centre do.
     None,
     /// For itself, since no other daemon answers it.
-    Own,
+    Isolated,
     /// For its data centre.
-    Centre,
+    Delegate,
 }
 
-impl Duty {
+impl StoreRole {
     /// Tells whether the daemon uses the store at all.
     pub const fn uses_store(self) -> bool {
         !matches!(self, Self::None)
@@ -42,71 +42,74 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::None => "none",
-            Self::Own => "own",
-            Self::Centre => "centre",
+            Self::Isolated => "own",
+            Self::Delegate => "centre",
         }
     }
 }
 
 /// What decides on the duty of one daemon.
 #[derive(Clone, Copy, Debug)]
-pub struct DutyTerm {
+pub struct RoleTracker {
     /// Until when it waits for neighbours that it was told of at its start.
-    patience: Instant,
+    solo_from: Instant,
     /// When a neighbour answered last.
-    heard: Option<Instant>,
+    last_answer: Option<Instant>,
     /// Since when it comes first without a break.
-    first: Option<Instant>,
+    first_since: Option<Instant>,
     /// When it acted for its data centre last.
-    acted: Option<Instant>,
+    last_delegate: Option<Instant>,
 }
 
-impl DutyTerm {
+impl RoleTracker {
     /// Makes the term of a daemon that starts now and uses the store after
     /// `patience` if nobody answers it.
     pub fn new(now: Instant, patience: Duration) -> Self {
         Self {
-            patience: now + patience,
-            heard: None,
-            first: None,
-            acted: None,
+            solo_from: now + patience,
+            last_answer: None,
+            first_since: None,
+            last_delegate: None,
         }
     }
 
     /// Takes note that a neighbour answered.
-    pub fn heard(&mut self, now: Instant) {
-        self.heard = Some(now);
+    pub fn record_answer(&mut self, now: Instant) {
+        self.last_answer = Some(now);
     }
 
     /// Tells whether a neighbour has ever answered.
-    pub fn has_heard(&self) -> bool {
-        self.heard.is_some()
+    pub fn has_answer(&self) -> bool {
+        self.last_answer.is_some()
     }
 
     /// Decides; `first` tells whether the daemon comes first in its data centre
     /// by what it knows of the others.
-    pub fn decide(&mut self, now: Instant, first: bool) -> Duty {
-        self.first = first.then(|| self.first.unwrap_or(now));
-        if self.is_cut_off(now) {
-            return if now < self.patience {
-                Duty::None
+    pub fn decide(&mut self, now: Instant, first: bool) -> StoreRole {
+        self.first_since = first.then(|| self.first_since.unwrap_or(now));
+        if self.is_isolated(now) {
+            return if now < self.solo_from {
+                StoreRole::None
             } else {
-                Duty::Own
+                StoreRole::Isolated
             };
         }
         let age = |since: Instant| now.saturating_duration_since(since);
-        if self.first.is_some_and(|since| age(since) >= SETTLED) {
-            self.acted = Some(now);
-            return Duty::Centre;
+        if self
+            .first_since
+            .is_some_and(|since| age(since) >= SETTLE_TIME)
+        {
+            self.last_delegate = Some(now);
+            return StoreRole::Delegate;
         }
-        if self.acted.is_some_and(|at| age(at) < LINGER) {
-            return Duty::Centre;
+        if self.last_delegate.is_some_and(|at| age(at) < LINGER_TIME) {
+            return StoreRole::Delegate;
         }
-        Duty::None
+        StoreRole::None
     }
 
-    fn is_cut_off(&self, now: Instant) -> bool {
-        let silence = self.heard.map(|at| now.saturating_duration_since(at));
-        silence.is_none_or(|silence| silence > CUT_OFF)
+    fn is_isolated(&self, now: Instant) -> bool {
+        let silence = self.last_answer.map(|at| now.saturating_duration_since(at));
+        silence.is_none_or(|silence| silence > ISOLATION_TIMEOUT)
     }
 }
--- a/src/policy/member/rollout.rs
+++ b/src/policy/member/rollout.rs
@@ -4,9 +4,9 @@
 
 /// What to do about a version that was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum VersionDecision {
     /// Fetch it and put it in force.
-    Take,
+    Apply,
     /// It is in force already.
     Same,
     /// It is older than what is in force; it is never taken.
@@ -26,16 +26,16 @@
     }
 
     /// Decides on a version that was heard of.
-    pub fn offer(&self, version: Version) -> Offer {
+    pub fn decide(&self, version: Version) -> VersionDecision {
         match version.cmp(&self.current) {
-            std::cmp::Ordering::Greater => Offer::Take,
-            std::cmp::Ordering::Equal => Offer::Same,
-            std::cmp::Ordering::Less => Offer::Older,
+            std::cmp::Ordering::Greater => VersionDecision::Apply,
+            std::cmp::Ordering::Equal => VersionDecision::Same,
+            std::cmp::Ordering::Less => VersionDecision::Older,
         }
     }
 
     /// Takes note that `version` is in force; returns whether it was newer.
-    pub fn take(&mut self, version: Version) -> bool {
+    pub fn advance(&mut self, version: Version) -> bool {
         let newer = version > self.current;
         self.current = self.current.max(version);
         newer
--- a/src/policy/member/view.rs
+++ b/src/policy/member/view.rs
@@ -8,22 +8,22 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Beat, Member, MemberState, Ranks};
+use super::{Incarnation, Member, MemberState, RankedMembers};
 use crate::model::{Instance, ServiceName};
 
 /// How long a stopped member is remembered, so that old news of it is known
 /// to be old.
-const REMEMBERED: Duration = Duration::from_secs(3600);
+const LEFT_RETENTION: Duration = Duration::from_secs(3600);
 
 /// Counts the changes of a view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Change(pub u64);
+pub struct ChangeCount(pub u64);
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct MemberEntry {
     member: Member,
     /// The latest change of it.
-    change: Change,
+    change: ChangeCount,
     ended: Option<Instant>,
 }
 
@@ -33,7 +33,7 @@
     /// The members, those changed first before the others.
     pub members: Vec<Member>,
     /// The change up to which they are all told.
-    pub at: Change,
+    pub change: ChangeCount,
 }
 
 /// The members of the estate, one run per address.
@@ -44,11 +44,11 @@
 #[derive(Debug)]
 pub struct View {
     own: Member,
-    members: BTreeMap<SocketAddr, Seen>,
+    members: BTreeMap<SocketAddr, MemberEntry>,
     /// The latest change of each member.
-    changes: BTreeMap<Change, SocketAddr>,
-    running: Ranks,
-    change: Change,
+    changes: BTreeMap<ChangeCount, SocketAddr>,
+    running: RankedMembers,
+    change: ChangeCount,
     digest: u64,
 }
 
@@ -59,11 +59,11 @@
             own: own.clone(),
             members: BTreeMap::new(),
             changes: BTreeMap::new(),
-            running: Ranks::default(),
-            change: Change::default(),
+            running: RankedMembers::default(),
+            change: ChangeCount::default(),
             digest: 0,
         };
-        view.put(now, own);
+        view.insert(now, own);
         view
     }
 
@@ -73,15 +73,15 @@
     }
 
     /// Changes what this daemon says of itself.
-    pub fn say(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
+    pub fn update_own(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
         let mut own = self.own.clone();
         change(&mut own);
         if own == self.own {
             return;
         }
-        own.beat = Beat(self.own.beat.0 + 1);
+        own.incarnation = Incarnation(self.own.incarnation.0 + 1);
         self.own = own.clone();
-        self.put(now, own);
+        self.insert(now, own);
     }
 
     /// Takes news of a member; returns whether it changed the view.
@@ -94,11 +94,11 @@
         }
         let newer = match self.members.get(&news.instance.address) {
             None => true,
-            Some(seen) if seen.member.instance == news.instance => news.overrides(&seen.member),
-            Some(seen) => news.instance.start > seen.member.instance.start,
+            Some(entry) if entry.member.instance == news.instance => news.overrides(&entry.member),
+            Some(entry) => news.instance.start > entry.member.instance.start,
         };
         if newer {
-            self.put(now, news);
+            self.insert(now, news);
         }
         newer
     }
@@ -114,12 +114,12 @@
 
     /// Takes what a neighbour answered to what it was told up to the change
     /// `sent`; returns up to which change it knows the view now.
-    pub fn merge_told(
+    pub fn merge_reply(
         &mut self,
         now: Instant,
         news: impl Iterator<Item = Member>,
-        sent: Change,
-    ) -> Change {
+        sent: ChangeCount,
+    ) -> ChangeCount {
         let nothing_else = self.change == sent;
         self.merge_all(now, news);
         if nothing_else { self.change } else { sent }
@@ -129,46 +129,46 @@
         if !news.overrides(&self.own) {
             return false;
         }
-        self.own.beat = Beat(news.beat.0 + 1);
+        self.own.incarnation = Incarnation(news.incarnation.0 + 1);
         let own = self.own.clone();
-        self.put(now, own);
+        self.insert(now, own);
         true
     }
 
     /// Takes note that the watched member `instance` is not heard from.
-    pub fn call_silent(&mut self, now: Instant, instance: Instance) -> bool {
-        let Some(seen) = self.members.get(&instance.address) else {
+    pub fn mark_silent(&mut self, now: Instant, instance: Instance) -> bool {
+        let Some(entry) = self.members.get(&instance.address) else {
             return false;
         };
-        let member = &seen.member;
+        let member = &entry.member;
         if member.instance != instance || member.state >= MemberState::Silent {
             return false;
         }
         let mut news = member.clone();
         news.state = MemberState::Silent;
-        self.put(now, news);
+        self.insert(now, news);
         true
     }
 
-    fn put(&mut self, now: Instant, member: Member) {
+    fn insert(&mut self, now: Instant, member: Member) {
         let address = member.instance.address;
         let ended = (member.state == MemberState::Left).then_some(now);
-        self.take_out(address);
+        self.remove(address);
         self.digest ^= digest_of(&member);
-        self.change = Change(self.change.0 + 1);
+        self.change = ChangeCount(self.change.0 + 1);
         self.changes.insert(self.change, address);
         if member.state < MemberState::Silent {
             self.running.insert(&member.centre, member.instance);
         }
-        let seen = Seen {
+        let entry = MemberEntry {
             member,
             change: self.change,
             ended,
         };
-        self.members.insert(address, seen);
+        self.members.insert(address, entry);
     }
 
-    fn take_out(&mut self, address: SocketAddr) {
+    fn remove(&mut self, address: SocketAddr) {
         let Some(old) = self.members.remove(&address) else {
             return;
         };
@@ -179,14 +179,14 @@
 
     /// Forgets members that stopped long ago.
     pub fn forget(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > REMEMBERED;
+        let is_old = |at: Instant| now.saturating_duration_since(at) > LEFT_RETENTION;
         let ended = self
             .members
             .iter()
-            .filter(|(_, seen)| seen.ended.is_some_and(is_old));
+            .filter(|(_, entry)| entry.ended.is_some_and(is_old));
         let old: Vec<SocketAddr> = ended.map(|(address, _)| *address).collect();
         for address in old {
-            self.take_out(address);
+            self.remove(address);
         }
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Returns the count of changes so far.
-    pub fn change(&self) -> Change {
+    pub fn change(&self) -> ChangeCount {
         self.change
     }
 
@@ -204,11 +204,11 @@
     /// those that the other side has `told` just so. Two daemons that tell each
     /// other their whole views, as after a start, send most entries once in place
     /// of twice.
-    pub fn page(&self, since: Change, most: usize, told: &[Member]) -> Page {
+    pub fn page(&self, since: ChangeCount, most: usize, told: &[Member]) -> Page {
         let told: HashMap<Instance, &Member> = told.iter().map(|m| (m.instance, m)).collect();
         let mut page = Page {
             members: Vec::new(),
-            at: self.change,
+            change: self.change,
         };
         let after = (Bound::Excluded(since), Bound::Unbounded);
         for (change, address) in self.changes.range(after) {
@@ -219,7 +219,7 @@
                 continue;
             }
             if page.members.len() == most {
-                page.at = Change(change.0 - 1);
+                page.change = ChangeCount(change.0 - 1);
                 break;
             }
             page.members.push(member.clone());
@@ -229,12 +229,12 @@
 
     /// Returns all members, this daemon among them.
     pub fn members(&self) -> impl ExactSizeIterator<Item = &Member> {
-        self.members.values().map(|seen| &seen.member)
+        self.members.values().map(|entry| &entry.member)
     }
 
     /// Returns the member at `address`.
     pub fn at(&self, address: SocketAddr) -> Option<&Member> {
-        self.members.get(&address).map(|seen| &seen.member)
+        self.members.get(&address).map(|entry| &entry.member)
     }
 
     /// Returns the members of a service that take calls.
@@ -247,12 +247,15 @@
     }
 
     /// Returns the running members by data centre.
-    pub fn running(&self) -> &Ranks {
+    pub fn running(&self) -> &RankedMembers {
         &self.running
     }
 }
 
 fn digest_of(member: &Member) -> u64 {
-    let text = format!("{} {} {}", member.instance, member.beat.0, member.state);
+    let text = format!(
+        "{} {} {}",
+        member.instance, member.incarnation.0, member.state
+    );
     xxh3_64(text.as_bytes())
 }
--- a/src/policy/once/claim.rs
+++ b/src/policy/once/claim.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns the name of the row that claims `key` at `service`.
-pub fn claim_key(service: &ServiceName, key: &OnceKey) -> String {
+pub fn claim_row_key(service: &ServiceName, key: &OnceKey) -> String {
     format!(
         "claim/{service}/{:032x}",
         xxh3_128(key.to_string().as_bytes())
@@ -39,7 +39,7 @@
 }
 
 /// Reads what a claim row that is present says to `own`.
-pub fn judge_claim(found: Claim, own: Instance, nonce: Nonce) -> ClaimCheck {
+pub fn check_claim(found: Claim, own: Instance, nonce: Nonce) -> ClaimCheck {
     if found.owner != own {
         ClaimCheck::Other(found.owner)
     } else if found.nonce == nonce {
--- a/src/policy/once/begin.rs
+++ b/src/policy/once/decision.rs
@@ -1,10 +1,10 @@
 //! What becomes of a once call.
 
-use super::{Kept, Refuse};
+use super::{OnceRefusal, StoredAnswer};
 
 /// What to do with a once call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum OnceDecision {
     /// Start it; the key is new and the ledger has it as running.
     Start,
     /// Start it; the key came before and was never started.
@@ -12,7 +12,7 @@
     /// Wait for the run that is under way.
     Attach,
     /// Give this answer.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// Refuse it.
-    Refuse(Refuse),
+    Refuse(OnceRefusal),
 }
--- a/src/policy/once/entry.rs
+++ b/src/policy/once/entry.rs
@@ -12,7 +12,7 @@
 
 /// An answer kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// The status of the answer.
     pub status: u16,
     /// Its headers.
@@ -21,7 +21,7 @@
     pub body: Option<Bytes>,
 }
 
-impl Kept {
+impl StoredAnswer {
     pub(super) fn cost(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
         headers + self.body.as_ref().map_or(0, Bytes::len)
@@ -30,13 +30,13 @@
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum KeyState {
     /// This instance may start it and has not yet.
     Claimed,
     /// It was given to the backend server, or will be at once.
     Running,
     /// It ran, and this is its answer.
-    Done(Kept),
+    Done(StoredAnswer),
     /// It may have run; its outcome was lost.
     Unknown,
 }
@@ -45,22 +45,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// What is known of it.
-    pub state: State,
+    pub state: KeyState,
     /// A hash of method, target and body.
     pub body_hash: u64,
     pub(super) age: MintTime,
 }
 
 /// Returns the bytes that a ledger accounts for a key.
-pub(super) fn cost(key: &OnceKey, state: &State) -> usize {
+pub(super) fn cost(key: &OnceKey, state: &KeyState) -> usize {
     let key = match key {
         OnceKey::Opaque(text) => text.len(),
         OnceKey::Ticket { .. } | OnceKey::Dated(_) => 0,
     };
     let kept = match state {
-        State::Done(kept) => kept.cost(),
-        State::Running => MAX_KEPT,
-        State::Claimed | State::Unknown => 0,
+        KeyState::Done(kept) => kept.cost(),
+        KeyState::Running => MAX_KEPT,
+        KeyState::Claimed | KeyState::Unknown => 0,
     };
     ENTRY_COST + key + kept
 }
--- a/src/policy/once/ledger.rs
+++ b/src/policy/once/ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::entry::{ENTRY_COST, MAX_KEPT, cost};
-use super::{Begin, Entry, Kept, Refuse, State};
+use super::{Entry, KeyState, OnceDecision, OnceRefusal, StoredAnswer};
 use crate::model::{MintTime, OnceKey};
 
 /// Bounds of a ledger.
@@ -13,7 +13,7 @@
     /// Most bytes that it holds.
     pub bytes: usize,
     /// How long keys are remembered after they were minted or first seen.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 /// Keeps outcomes, bounded in bytes and by age.
@@ -49,80 +49,82 @@
     }
 
     /// Decides on a call with `key` that this instance may start.
-    pub fn begin(&mut self, now: MintTime, key: &OnceKey, body_hash: u64) -> Begin {
+    pub fn begin(&mut self, now: MintTime, key: &OnceKey, body_hash: u64) -> OnceDecision {
         self.expire(now);
         if let Some(entry) = self.entries.get_mut(key) {
-            if self.stopped && entry.state == State::Claimed {
-                return Begin::Refuse(Refuse::WrongOwner);
+            if self.stopped && entry.state == KeyState::Claimed {
+                return OnceDecision::Refuse(OnceRefusal::WrongOwner);
             }
             let begin = Self::resume(entry, body_hash);
-            if begin == Begin::Resume {
+            if begin == OnceDecision::Resume {
                 self.bytes += MAX_KEPT;
             }
             return begin;
         }
         if self.stopped {
-            return Begin::Refuse(Refuse::WrongOwner);
+            return OnceDecision::Refuse(OnceRefusal::WrongOwner);
         }
         let age = key.mint_time().unwrap_or(now);
         if age <= self.forgotten {
-            return Begin::Refuse(Refuse::Forgotten);
+            return OnceDecision::Refuse(OnceRefusal::Forgotten);
         }
         if !self.make_room(ENTRY_COST + MAX_KEPT) {
-            return Begin::Refuse(Refuse::LedgerFull);
+            return OnceDecision::Refuse(OnceRefusal::LedgerFull);
         }
         if age <= self.forgotten {
-            return Begin::Refuse(Refuse::Forgotten);
+            return OnceDecision::Refuse(OnceRefusal::Forgotten);
         }
-        self.insert(key, State::Running, body_hash, age);
-        Begin::Start
+        self.insert(key, KeyState::Running, body_hash, age);
+        OnceDecision::Start
     }
 
-    fn resume(entry: &mut Entry, body_hash: u64) -> Begin {
+    fn resume(entry: &mut Entry, body_hash: u64) -> OnceDecision {
         if entry.body_hash != body_hash {
-            return Begin::Refuse(Refuse::BodyDiffers);
+            return OnceDecision::Refuse(OnceRefusal::BodyDiffers);
         }
         match &entry.state {
-            State::Claimed => {
-                entry.state = State::Running;
-                Begin::Resume
+            KeyState::Claimed => {
+                entry.state = KeyState::Running;
+                OnceDecision::Resume
             }
-            State::Running => Begin::Attach,
-            State::Done(kept) if kept.body.is_none() => Begin::Refuse(Refuse::AnswerNotKept),
-            State::Done(kept) => Begin::Answer(kept.clone()),
-            State::Unknown => Begin::Refuse(Refuse::OutcomeLost),
+            KeyState::Running => OnceDecision::Attach,
+            KeyState::Done(kept) if kept.body.is_none() => {
+                OnceDecision::Refuse(OnceRefusal::AnswerNotKept)
+            }
+            KeyState::Done(kept) => OnceDecision::Answer(kept.clone()),
+            KeyState::Unknown => OnceDecision::Refuse(OnceRefusal::OutcomeLost),
         }
     }
 
     /// Takes note that a running call was answered.
-    pub fn finish(&mut self, key: &OnceKey, mut kept: Kept) {
+    pub fn finish(&mut self, key: &OnceKey, mut kept: StoredAnswer) {
         if kept.cost() > MAX_KEPT {
             kept.body = None;
             kept.headers.clear();
         }
-        self.set(key, State::Done(kept));
+        self.set(key, KeyState::Done(kept));
     }
 
     /// Takes note that the outcome of a running call was lost.
-    pub fn lose(&mut self, key: &OnceKey) {
-        self.set(key, State::Unknown);
+    pub fn mark_lost(&mut self, key: &OnceKey) {
+        self.set(key, KeyState::Unknown);
     }
 
     /// Takes note that a call was shed before it was started; it may start
     /// later.
     pub fn release(&mut self, key: &OnceKey) {
-        self.set(key, State::Claimed);
+        self.set(key, KeyState::Claimed);
     }
 
     /// Drops a key that another instance owns.
-    pub fn retract(&mut self, key: &OnceKey) {
+    pub fn remove(&mut self, key: &OnceKey) {
         if let Some(entry) = self.entries.remove(key) {
             self.bytes -= cost(key, &entry.state);
             self.order.remove(&(entry.age, key.clone()));
         }
     }
 
-    fn set(&mut self, key: &OnceKey, state: State) {
+    fn set(&mut self, key: &OnceKey, state: KeyState) {
         if let Some(entry) = self.entries.get_mut(key) {
             self.bytes -= cost(key, &entry.state);
             entry.state = state;
@@ -139,7 +141,7 @@
     pub fn has_begun(&self, key: &OnceKey) -> bool {
         self.entries
             .get(key)
-            .is_some_and(|entry| entry.state != State::Claimed)
+            .is_some_and(|entry| entry.state != KeyState::Claimed)
     }
 
     /// Returns all entries, for a hand-over.
@@ -160,12 +162,12 @@
     /// Takes over an entry of an instance that stops.
     ///
     /// A key that is known here already is kept as it is.
-    pub fn adopt(&mut self, now: MintTime, key: OnceKey, state: State, body_hash: u64) {
+    pub fn adopt(&mut self, now: MintTime, key: OnceKey, state: KeyState, body_hash: u64) {
         if self.entries.contains_key(&key) {
             return;
         }
         let state = match state {
-            State::Running => State::Unknown,
+            KeyState::Running => KeyState::Unknown,
             other => other,
         };
         let age = key.mint_time().unwrap_or(now);
@@ -198,7 +200,7 @@
         self.bytes
     }
 
-    fn insert(&mut self, key: &OnceKey, state: State, body_hash: u64, age: MintTime) {
+    fn insert(&mut self, key: &OnceKey, state: KeyState, body_hash: u64, age: MintTime) {
         self.bytes += cost(key, &state);
         self.order.insert((age, key.clone()));
         let entry = Entry {
@@ -210,8 +212,8 @@
     }
 
     fn expire(&mut self, now: MintTime) {
-        let memory = u64::try_from(self.limits.memory.as_millis()).unwrap_or(u64::MAX);
-        let limit = MintTime::from_millis(now.as_millis().saturating_sub(memory));
+        let retention = u64::try_from(self.limits.retention.as_millis()).unwrap_or(u64::MAX);
+        let limit = MintTime::from_millis(now.as_millis().saturating_sub(retention));
         while let Some((age, _)) = self.order.first()
             && *age < limit
         {
@@ -235,7 +237,7 @@
         let running = |key: &OnceKey| {
             self.entries
                 .get(key)
-                .is_some_and(|entry| entry.state == State::Running)
+                .is_some_and(|entry| entry.state == KeyState::Running)
         };
         let found = self.order.iter().find(|(_, key)| !running(key)).cloned();
         let Some(place) = found else {
--- a/src/policy/once/mod.rs
+++ b/src/policy/once/mod.rs
@@ -1,21 +1,21 @@
 //! At most once: who may ever start a key, and what became of it.
 
-mod begin;
 mod claim;
+mod decision;
+mod destination;
 mod entry;
-mod home;
 mod interval;
 mod ledger;
-mod place;
+mod ownership;
 mod plan;
-mod reason;
+mod refusal;
 
-pub use begin::Begin;
-pub use claim::{Claim, ClaimCheck, Nonce, claim_key, judge_claim};
-pub use entry::{Entry, Kept, State};
-pub use home::{HomeRow, Owner, SLOTS};
+pub use claim::{Claim, ClaimCheck, Nonce, check_claim, claim_row_key};
+pub use decision::OnceDecision;
+pub use destination::{Destination, check_owner, destination};
+pub use entry::{Entry, KeyState, StoredAnswer};
 pub use interval::Interval;
 pub use ledger::{Ledger, LedgerLimits};
-pub use place::{Place, authority, place};
-pub use plan::{Horizon, Successor, hand_over, plan};
-pub use reason::Refuse;
+pub use ownership::{Owner, OwnershipRow, SLOTS};
+pub use plan::{Horizon, Successor, hand_over, plan_ownership};
+pub use refusal::OnceRefusal;
--- a/src/policy/once/home.rs
+++ b/src/policy/once/ownership.rs
@@ -29,12 +29,12 @@
 /// any state of the row that an owner has read stays true for what it owns,
 /// however old it is: safety rests on no clock, lease or view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HomeRow {
+pub struct OwnershipRow {
     slots: Vec<Vec<Interval>>,
     forgotten: u64,
 }
 
-impl Default for HomeRow {
+impl Default for OwnershipRow {
     fn default() -> Self {
         Self {
             slots: vec![Vec::new(); SLOTS],
@@ -43,7 +43,7 @@
     }
 }
 
-impl HomeRow {
+impl OwnershipRow {
     /// Reads a row from the platform.
     ///
     /// # Errors
--- a/src/policy/once/plan.rs
+++ b/src/policy/once/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{HomeRow, Interval, SLOTS};
+use super::{Interval, OwnershipRow, SLOTS};
 use crate::model::{Instance, MintTime};
 
 /// How far ahead mint times are given out, and how long they are remembered.
@@ -12,7 +12,7 @@
     /// How far ahead of now an extension reaches.
     pub ahead: Duration,
     /// How long intervals are remembered.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 impl Horizon {
@@ -20,8 +20,8 @@
         u64::try_from(self.ahead.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn memory_ms(&self) -> u64 {
-        u64::try_from(self.memory.as_millis()).unwrap_or(u64::MAX)
+    fn retention_ms(&self) -> u64 {
+        u64::try_from(self.retention.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
@@ -34,7 +34,12 @@
 /// Owners in `live` keep their slots and are extended; slots of others go on
 /// to a live instance from the end of the last interval, never earlier. The
 /// row is due when less than half of the horizon is left anywhere.
-pub fn plan(row: &HomeRow, now: MintTime, live: &[Instance], horizon: Horizon) -> Option<HomeRow> {
+pub fn plan_ownership(
+    row: &OwnershipRow,
+    now: MintTime,
+    live: &[Instance],
+    horizon: Horizon,
+) -> Option<OwnershipRow> {
     if live.is_empty() || !is_due(row, now, live, horizon) {
         return None;
     }
@@ -44,14 +49,14 @@
     for slot in next.slots_mut() {
         extend(slot, until, &mut shares);
     }
-    let memory = horizon.memory_ms();
+    let retention = horizon.retention_ms();
     next.forget(MintTime::from_millis(
-        now.as_millis().saturating_sub(memory),
+        now.as_millis().saturating_sub(retention),
     ));
     Some(next)
 }
 
-fn is_due(row: &HomeRow, now: MintTime, live: &[Instance], horizon: Horizon) -> bool {
+fn is_due(row: &OwnershipRow, now: MintTime, live: &[Instance], horizon: Horizon) -> bool {
     let due = now.plus(horizon.ahead_ms() / 2);
     row.slots().iter().any(|slot| match slot.last() {
         Some(last) => last.until <= due || !live.contains(&last.owner),
@@ -87,7 +92,7 @@
 ///
 /// Only `own` itself may write it, after it has stopped starting keys and the
 /// successor has its ledger.
-pub fn hand_over(row: &HomeRow, own: Instance, successor: Successor) -> HomeRow {
+pub fn hand_over(row: &OwnershipRow, own: Instance, successor: Successor) -> OwnershipRow {
     let mut next = row.clone();
     let Successor(heir) = successor;
     for slot in next.slots_mut() {
@@ -116,7 +121,7 @@
 }
 
 impl Shares {
-    fn new(row: &HomeRow, live: &[Instance]) -> Self {
+    fn new(row: &OwnershipRow, live: &[Instance]) -> Self {
         let mut counts: BTreeMap<Instance, usize> = live.iter().map(|i| (*i, 0)).collect();
         for last in row.slots().iter().filter_map(|slot| slot.last()) {
             if let Some(count) = counts.get_mut(&last.owner) {
@@ -154,7 +159,7 @@
         let found = self.counts.iter().min_by_key(|(_, count)| **count);
         match found {
             Some((instance, _)) => *instance,
-            // `plan` returns before this when nobody is live.
+            // `plan_ownership` returns before this when nobody is live.
             None => unreachable!("shares are never made of no instances"),
         }
     }
--- a/src/policy/once/reason.rs
+++ b/src/policy/once/refusal.rs
@@ -6,7 +6,7 @@
 
 /// Why a once call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refuse {
+pub enum OnceRefusal {
     /// No instance may start keys of this mint time yet.
     NotOwned,
     /// The only instance that may start the key is gone.
@@ -31,7 +31,7 @@
     AnswerNotKept,
 }
 
-impl Refuse {
+impl OnceRefusal {
     /// Returns what the refusal says of the attempt.
     ///
     /// An earlier attempt with the same key may have run elsewhere; the entry
@@ -88,7 +88,7 @@
     }
 }
 
-impl fmt::Display for Refuse {
+impl fmt::Display for OnceRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(self.as_str())
     }
--- a/src/tables/current.rs
+++ b/src/tables/current.rs
@@ -8,7 +8,7 @@
 use crate::declare::{Document, DocumentName, Estate, Manifest, join};
 use crate::error::Error;
 use crate::model::Version;
-use crate::policy::member::{Offer, Rollout};
+use crate::policy::member::{Rollout, VersionDecision};
 
 /// One version of the configuration with its documents.
 #[derive(Debug)]
@@ -45,8 +45,8 @@
     }
 
     /// Decides on a version that was heard of.
-    pub fn offer(&self, version: Version) -> Offer {
-        self.inner.read().rollout.offer(version)
+    pub fn offer(&self, version: Version) -> VersionDecision {
+        self.inner.read().rollout.decide(version)
     }
 
     /// Puts a version in force; returns whether it was later than the present.
@@ -63,7 +63,7 @@
         let estate = join(&documents)?;
         let documents = documents.into_iter().map(|d| (d.name.clone(), d)).collect();
         let mut inner = self.inner.write();
-        let newer = inner.rollout.take(manifest.version);
+        let newer = inner.rollout.advance(manifest.version);
         if newer {
             inner.in_force = Some(Arc::new(InForce {
                 manifest,
--- a/src/tables/homes.rs
+++ b/src/tables/homes.rs
@@ -6,8 +6,8 @@
 use parking_lot::RwLock;
 
 use crate::model::ServiceName;
-use crate::policy::member::Change;
-use crate::policy::once::HomeRow;
+use crate::policy::member::ChangeCount;
+use crate::policy::once::OwnershipRow;
 use crate::store::Revision;
 
 /// A home row at one revision.
@@ -16,13 +16,13 @@
     /// The revision of the row.
     pub revision: Revision,
     /// Its content.
-    pub row: Arc<HomeRow>,
+    pub row: Arc<OwnershipRow>,
 }
 
 #[derive(Debug, Default)]
 struct Rows {
-    rows: HashMap<ServiceName, (Home, Change)>,
-    change: Change,
+    rows: HashMap<ServiceName, (Home, ChangeCount)>,
+    change: ChangeCount,
     digest: u64,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Takes a row unless a later one is known; returns whether it was taken.
-    pub fn take(&self, service: &ServiceName, revision: Revision, row: HomeRow) -> bool {
+    pub fn take(&self, service: &ServiceName, revision: Revision, row: OwnershipRow) -> bool {
         let mut inner = self.inner.write();
         let old = inner.rows.get(service).map(|(home, _)| home.revision);
         if old.is_some_and(|old| old >= revision) {
@@ -50,7 +50,7 @@
             inner.digest ^= hash(service, old);
         }
         inner.digest ^= hash(service, revision);
-        inner.change = Change(inner.change.0 + 1);
+        inner.change = ChangeCount(inner.change.0 + 1);
         let change = inner.change;
         let row = Arc::new(row);
         let home = Home { revision, row };
@@ -59,7 +59,7 @@
     }
 
     /// Returns the rows taken after `since`, and the count of changes.
-    pub fn changed(&self, since: Change) -> (Vec<(ServiceName, Home)>, Change) {
+    pub fn changed(&self, since: ChangeCount) -> (Vec<(ServiceName, Home)>, ChangeCount) {
         let inner = self.inner.read();
         let rows = inner
             .rows
--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -12,7 +12,7 @@
 
 use crate::declare::Limit;
 use crate::model::WorkspaceName;
-use crate::policy::member::{Change, View};
+use crate::policy::member::{ChangeCount, View};
 use crate::policy::rate::{Asked, Bucket, Lent, Ring, Sharing, Stock, Taken, Terms};
 
 /// How often idle entries are looked for, by questions for credit.
@@ -43,7 +43,7 @@
 /// The ring, and since when it has been as it is.
 #[derive(Debug)]
 struct Known {
-    change: Option<Change>,
+    change: Option<ChangeCount>,
     ring: Arc<Ring>,
     since: Instant,
 }
--- a/src/tables/shared.rs
+++ b/src/tables/shared.rs
@@ -16,7 +16,7 @@
 use crate::metrics::Metrics;
 use crate::model::{CrashId, Fingerprint, Instance, MintTime, Version, WorkspaceName};
 use crate::policy::crash::Suspect;
-use crate::policy::member::{Duty, DutyTerm, View};
+use crate::policy::member::{RoleTracker, StoreRole, View};
 use crate::policy::rate::{Asked, Lent, Ring};
 use crate::store::{Platform, Revision};
 
@@ -63,9 +63,9 @@
     /// Wakes the task that fills the tables of targets anew.
     pub stale: Notify,
     /// For whom this daemon uses the platform's store.
-    pub duty: watch::Sender<Duty>,
+    pub duty: watch::Sender<StoreRole>,
     /// What decides on that.
-    pub term: Mutex<DutyTerm>,
+    pub term: Mutex<RoleTracker>,
     /// The revision of the own row in the table service, while it stands there.
     pub row: Mutex<Option<Revision>>,
     /// Whether the daemon takes callers.
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -7,7 +7,7 @@
 
 use crate::model::{CrashId, Fingerprint};
 use crate::policy::crash::{self, Standing, Suspect};
-use crate::policy::member::Change;
+use crate::policy::member::ChangeCount;
 
 /// Crashes of the own server, and requests told of, that are remembered.
 const REMEMBERED: usize = 64;
@@ -93,7 +93,7 @@
     /// lost: those that are held for crashes of the own server, or `all`.
     pub fn keep_again(&self, all: bool) {
         let known = self.known.lock();
-        let (suspects, _) = known.changed(Instant::now(), Change::default());
+        let (suspects, _) = known.changed(Instant::now(), ChangeCount::default());
         let mut grave = self.grave.lock();
         grave.told.clear();
         for suspect in &suspects {
@@ -146,7 +146,7 @@
     }
 
     /// Returns what changed after `since`, and the count of changes.
-    pub fn changed(&self, since: Change) -> (Vec<Suspect>, Change) {
+    pub fn changed(&self, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
         self.known.lock().changed(Instant::now(), since)
     }
 
--- a/src/task/duty.rs
+++ b/src/task/duty.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::policy::member::{Duty, is_delegate};
+use crate::policy::member::{StoreRole, is_delegate};
 use crate::tables::Shared;
 
 /// How often the duty is decided anew.
@@ -36,8 +36,8 @@
 }
 
 /// Waits until this daemon uses the store, and returns for whom.
-pub(super) async fn on_duty(shared: &Shared) -> Duty {
-    wait_for(shared, Duty::uses_store).await
+pub(super) async fn on_duty(shared: &Shared) -> StoreRole {
+    wait_for(shared, StoreRole::uses_store).await
 }
 
 /// Waits until this daemon leaves the store to others.
@@ -45,7 +45,7 @@
     wait_for(shared, |duty| !duty.uses_store()).await;
 }
 
-async fn wait_for(shared: &Shared, is: impl Fn(Duty) -> bool) -> Duty {
+async fn wait_for(shared: &Shared, is: impl Fn(StoreRole) -> bool) -> StoreRole {
     let mut duty = shared.duty.subscribe();
     let found = duty.wait_for(|duty| is(*duty)).await.map(|duty| *duty);
     match found {
--- a/src/task/follow.rs
+++ b/src/task/follow.rs
@@ -44,7 +44,7 @@
     mut asks: impl FnMut() -> bool,
     mut take: impl FnMut(&Row),
 ) {
-    let mut budget = Budget::capped(Instant::now(), RATE, BURST, MAX_BACK_OFF);
+    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
     let mut known: Option<Revision> = None;
     let mut lost = false;
     let mut back = feed.went_back();
@@ -55,7 +55,7 @@
             tokio::time::sleep(IDLE).await;
             continue;
         }
-        if !budget.take(Instant::now()) {
+        if !budget.try_take(Instant::now()) {
             tokio::time::sleep(PAUSE).await;
             continue;
         }
@@ -84,14 +84,14 @@
                     spdlog::info!("feed regained", kv: { row = followed.row });
                 }
                 lost = false;
-                budget.answered();
+                budget.record_answer();
             }
             Some(cause) => {
                 if !lost {
                     spdlog::warn!("feed lost", kv: { row = followed.row, cause = &*cause });
                 }
                 lost = true;
-                budget.failed(Instant::now(), &mut rand::rng());
+                budget.record_failure(Instant::now(), &mut rand::rng());
             }
         }
     }
--- a/src/task/gossip.rs
+++ b/src/task/gossip.rs
@@ -36,7 +36,7 @@
             () = tokio::time::sleep_until(due) => {
                 talks.begin(&shared, &pool);
                 pool.trim();
-                let heard = shared.term.lock().has_heard();
+                let heard = shared.term.lock().has_answer();
                 due = Instant::now() + if heard { TICK } else { FIRST_TICK };
             }
             () = shared.news.notified() => due = due.min(Instant::now() + GATHER),
@@ -83,8 +83,8 @@
             }
             let link = Link::new(Instant::now());
             let told = match standing.contains(address) {
-                true => self.links.entry(*address).or_insert(link).told(),
-                false => link.told(),
+                true => self.links.entry(*address).or_insert(link).position(),
+                false => link.position(),
             };
             let (shared, pool, address) = (Arc::clone(shared), Arc::clone(pool), *address);
             self.under_way.push(Box::pin(async move {
@@ -105,13 +105,13 @@
         let now = Instant::now();
         match result {
             Ok(done) => {
-                link.answered(now, done.told, done.same);
+                link.record_answer(now, done.told, done.same);
                 // More is to be told than a message holds.
-                if !done.same && done.told.ours < Some(shared.view.lock().change()) {
+                if !done.same && done.told.sent < Some(shared.view.lock().change()) {
                     shared.wake();
                 }
             }
-            Err(_) => note_failure(shared, address, link.failed(now)),
+            Err(_) => note_failure(shared, address, link.record_failure(now)),
         }
     }
 }
@@ -136,7 +136,7 @@
     let Some(watched) = watched.filter(|watched| watched.address == address) else {
         return;
     };
-    let called = shared.view.lock().call_silent(Instant::now(), watched);
+    let called = shared.view.lock().mark_silent(Instant::now(), watched);
     if called {
         let instance = watched.to_string();
         spdlog::warn!("member is silent", kv: { instance = instance.as_str() });
--- a/src/task/homes.rs
+++ b/src/task/homes.rs
@@ -8,7 +8,7 @@
 use crate::declare::Once;
 use crate::model::{Instance, ServiceName};
 use crate::policy::member::Budget;
-use crate::policy::once::{HomeRow, Horizon, plan};
+use crate::policy::once::{Horizon, OwnershipRow, plan_ownership};
 use crate::store::{Condition, Settled, settle};
 use crate::tables::{Home, Shared, mint_now};
 
@@ -42,12 +42,12 @@
             continue;
         }
         due_for += 1;
-        if due_for <= turn * TURN || !budget.take(Instant::now()) {
+        if due_for <= turn * TURN || !budget.try_take(Instant::now()) {
             continue;
         }
         match extend(&shared, &live, once).await {
-            Some(()) => budget.answered(),
-            None => budget.failed(Instant::now(), &mut rand::rng()),
+            Some(()) => budget.record_answer(),
+            None => budget.record_failure(Instant::now(), &mut rand::rng()),
         }
     }
 }
@@ -66,14 +66,14 @@
         .collect()
 }
 
-fn next(known: Option<&Home>, live: &[Instance], once: Once) -> Option<HomeRow> {
+fn next(known: Option<&Home>, live: &[Instance], once: Once) -> Option<OwnershipRow> {
     let horizon = Horizon {
         ahead: once.horizon.get(),
-        memory: once.memory.get(),
+        retention: once.memory.get(),
     };
-    let empty = HomeRow::default();
+    let empty = OwnershipRow::default();
     let row = known.map_or(&empty, |home| &*home.row);
-    plan(row, mint_now(), live, horizon)
+    plan_ownership(row, mint_now(), live, horizon)
 }
 
 /// Returns the name of the home row of a service.
@@ -101,7 +101,7 @@
             Some(())
         }
         Settled::Lost(Some(found)) => {
-            if let Ok(row) = HomeRow::decode(&found.content) {
+            if let Ok(row) = OwnershipRow::decode(&found.content) {
                 shared.homes.take(service, found.revision, row);
             }
             Some(())
@@ -116,7 +116,7 @@
 pub async fn read_home(shared: &Shared, service: &ServiceName) -> bool {
     match shared.platform.read(&row_key(service)).await {
         Ok(Some(found)) => {
-            if let Ok(row) = HomeRow::decode(&found.content) {
+            if let Ok(row) = OwnershipRow::decode(&found.content) {
                 shared.homes.take(service, found.revision, row);
             }
             true
--- a/src/task/lease.rs
+++ b/src/task/lease.rs
@@ -32,7 +32,7 @@
 fn say_slots(shared: &Shared, slots: Option<Slots>) {
     let mut view = shared.view.lock();
     if slots.is_some() && view.own().slots != slots {
-        view.say(Instant::now(), |own| own.slots = slots);
+        view.update_own(Instant::now(), |own| own.slots = slots);
     }
 }
 
@@ -44,7 +44,7 @@
         // What a stopping daemon has said is not taken back.
         let stopping = before == MemberState::Left;
         if !stopping && before != state {
-            view.say(Instant::now(), |own| own.state = state);
+            view.update_own(Instant::now(), |own| own.state = state);
         }
         !stopping && before != state
     };
--- a/src/task/poll.rs
+++ b/src/task/poll.rs
@@ -12,7 +12,7 @@
 use crate::guard::Guard;
 use crate::model::Version;
 use crate::peer::{known_documents, put_in_force};
-use crate::policy::member::{Budget, Offer, is_delegate};
+use crate::policy::member::{Budget, VersionDecision, is_delegate};
 use crate::tables::Shared;
 
 /// The row that names the version in force.
@@ -42,14 +42,14 @@
     let mut seen = Version::NONE;
     loop {
         let none = shared.current.get().is_none();
-        if (none || is_delegate(&shared.view.lock())) && budget.take(Instant::now()) {
+        if (none || is_delegate(&shared.view.lock())) && budget.try_take(Instant::now()) {
             match read(&shared).await {
-                Ok(()) => budget.answered(),
+                Ok(()) => budget.record_answer(),
                 Err(e) => {
                     spdlog::debug!("cannot read the configuration", kv: {
                         cause = e.to_string().as_str()
                     });
-                    budget.failed(Instant::now(), &mut rand::rng());
+                    budget.record_failure(Instant::now(), &mut rand::rng());
                 }
             }
         }
@@ -79,7 +79,7 @@
     };
     let current: CurrentRow = serde_json::from_slice(&row.content)
         .map_err(|e| Error::value("configuration row", e.to_string()))?;
-    if shared.current.offer(current.version) != Offer::Take {
+    if shared.current.offer(current.version) != VersionDecision::Apply {
         return Ok(());
     }
     let (manifest, documents) = fetch_version(shared, &current.manifest).await?;
--- a/src/task/row.rs
+++ b/src/task/row.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::duty::{off_duty, on_duty};
-use crate::policy::member::{Budget, Duty, Member, MemberState, View};
+use crate::policy::member::{Budget, Member, MemberState, StoreRole, View};
 use crate::store::{Condition, Revision, Row, Settled, settle};
 use crate::tables::Shared;
 
@@ -46,7 +46,7 @@
 /// the one that writes later reads that of the other, and what their neighbours
 /// know comes together.
 pub async fn keep_row(shared: Arc<Shared>) {
-    let mut budget = Budget::capped(Instant::now(), RATE, BURST, MAX_BACK_OFF);
+    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
     let mut back = shared.platform.went_back();
     loop {
         let duty = on_duty(&shared).await;
@@ -57,7 +57,10 @@
             back.mark_unchanged();
             *shared.row.lock() = None;
         }
-        if duty == Duty::Own && shared.row.lock().is_none() && found(&shared, &mut budget).await {
+        if duty == StoreRole::Isolated
+            && shared.row.lock().is_none()
+            && found(&shared, &mut budget).await
+        {
             let answered = tokio::time::timeout(ANSWER, off_duty(&shared)).await;
             if answered.is_ok() {
                 continue;
@@ -102,15 +105,15 @@
 /// store to others.
 async fn until_answered(shared: &Shared, budget: &mut Budget, round: Round) {
     while shared.duty.borrow().uses_store() {
-        if !budget.take(Instant::now()) {
+        if !budget.try_take(Instant::now()) {
             tokio::time::sleep(LOOK).await;
             continue;
         }
         if round.run(shared).await {
-            budget.answered();
+            budget.record_answer();
             return;
         }
-        budget.failed(Instant::now(), &mut rand::rng());
+        budget.record_failure(Instant::now(), &mut rand::rng());
     }
 }
 
--- a/src/task/stop.rs
+++ b/src/task/stop.rs
@@ -12,7 +12,7 @@
 use crate::guard::Guard;
 use crate::model::Instance;
 use crate::peer::{Pool, exchange, hand_over};
-use crate::policy::member::{MemberState, Told, neighbours};
+use crate::policy::member::{MemberState, SyncPosition, neighbours};
 use crate::policy::once::{Successor, hand_over as next_row};
 use crate::store::{Condition, Settled, settle};
 use crate::tables::Shared;
@@ -144,7 +144,7 @@
     let neighbours = neighbours(&shared.view.lock());
     let told = neighbours
         .all()
-        .map(|instance| exchange(shared, pool, instance.address, Told::default()));
+        .map(|instance| exchange(shared, pool, instance.address, SyncPosition::default()));
     let told = futures_util::future::join_all(told);
     if tokio::time::timeout(TELL, told).await.is_err() {
         spdlog::debug!("a neighbour did not hear of the stop in time");
@@ -184,7 +184,7 @@
                 return true;
             }
             Settled::Lost(Some(found)) => {
-                let Ok(row) = crate::policy::once::HomeRow::decode(&found.content) else {
+                let Ok(row) = crate::policy::once::OwnershipRow::decode(&found.content) else {
                     return false;
                 };
                 shared.homes.take(service, found.revision, row);
--- a/src/task/suspects.rs
+++ b/src/task/suspects.rs
@@ -76,7 +76,7 @@
 /// for others or itself, and writes those that are held for crashes of this VM's
 /// server, for ever; again when the store has gone back.
 pub async fn keep_suspects(shared: Arc<Shared>) {
-    let mut budget = Budget::capped(Instant::now(), RATE, BURST, MAX_BACK_OFF);
+    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
     let mut read = false;
     let mut back = shared.platform.went_back();
     loop {
@@ -89,7 +89,7 @@
             }
         }
         if !read && shared.duty.borrow().uses_store() {
-            if !budget.take(Instant::now()) {
+            if !budget.try_take(Instant::now()) {
                 tokio::time::sleep(LOOK).await;
                 continue;
             }
@@ -102,9 +102,9 @@
 
 fn note(budget: &mut Budget, answered: bool) {
     if answered {
-        budget.answered();
+        budget.record_answer();
     } else {
-        budget.failed(Instant::now(), &mut rand::rng());
+        budget.record_failure(Instant::now(), &mut rand::rng());
     }
 }
 
@@ -149,7 +149,7 @@
 /// Writes a row for each request that is held for a crash of this VM's server.
 async fn write_rows(shared: &Shared, budget: &mut Budget) {
     while let Some(suspect) = shared.suspects.take_grave() {
-        while !budget.take(Instant::now()) {
+        while !budget.try_take(Instant::now()) {
             tokio::time::sleep(LOOK).await;
         }
         let written = write_row(shared, &suspect).await;
--- a/tests/duty.rs
+++ b/tests/duty.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 use bramleymount::policy::member::{
-    Beat, Duty, DutyTerm, Member, MemberState, View, is_delegate, neighbours, read_chance,
+    Incarnation, Member, MemberState, RoleTracker, StoreRole, View, is_delegate, neighbours,
+    read_probability,
 };
 use rstest::rstest;
 use tokio::time::Instant;
@@ -25,7 +26,7 @@
         instance: address.parse().expect("an instance"),
         centre: centre.parse().expect("a name"),
         service: "svc".parse().expect("a name"),
-        beat: Beat(1),
+        incarnation: Incarnation(1),
         state: MemberState::Serving,
         slots: None,
     }
@@ -71,7 +72,7 @@
     let is = |own: usize, silent: Option<usize>| {
         let mut view = view(own, 50, 1);
         if let Some(silent) = silent {
-            view.call_silent(now, member(silent, "dc-0").instance);
+            view.mark_silent(now, member(silent, "dc-0").instance);
         }
         is_delegate(&view)
     };
@@ -85,7 +86,7 @@
 #[case::large(1000)]
 fn read_chance_lets_as_many_read_at_a_time(#[case] members: usize) {
     let readers: f64 = (0..members)
-        .map(|own| read_chance(&view(own, members, 1)))
+        .map(|own| read_probability(&view(own, members, 1)))
         .sum();
     assert!(
         (readers - DELEGATES as f64).abs() < 1e-6,
@@ -96,19 +97,19 @@
 #[test]
 fn decide_of_a_daemon_that_nobody_answers_asks_for_itself_after_its_patience() {
     let start = Instant::now();
-    let mut term = DutyTerm::new(start, ms(300));
-    assert_eq!(term.decide(start + ms(250), true), Duty::None);
-    assert_eq!(term.decide(start + ms(300), true), Duty::Own);
+    let mut term = RoleTracker::new(start, ms(300));
+    assert_eq!(term.decide(start + ms(250), true), StoreRole::None);
+    assert_eq!(term.decide(start + ms(300), true), StoreRole::Isolated);
 }
 
 #[test]
 fn decide_of_a_daemon_that_is_answered_leaves_the_store_to_others() {
     let start = Instant::now();
-    let mut term = DutyTerm::new(start, ms(300));
-    term.heard(start + ms(20));
+    let mut term = RoleTracker::new(start, ms(300));
+    term.record_answer(start + ms(20));
     for at in (250..3000).step_by(250) {
-        term.heard(start + ms(at));
-        assert_eq!(term.decide(start + ms(at), false), Duty::None);
+        term.record_answer(start + ms(at));
+        assert_eq!(term.decide(start + ms(at), false), StoreRole::None);
     }
 }
 
@@ -116,40 +117,40 @@
 #[test]
 fn decide_waits_until_its_place_has_settled() {
     let start = Instant::now();
-    let mut term = DutyTerm::new(start, ms(300));
-    term.heard(start);
-    assert_eq!(term.decide(start, true), Duty::None);
-    assert_eq!(term.decide(start + ms(500), false), Duty::None);
-    term.heard(start + ms(750));
-    assert_eq!(term.decide(start + ms(750), true), Duty::None);
-    term.heard(start + ms(1750));
-    assert_eq!(term.decide(start + ms(1750), true), Duty::Centre);
+    let mut term = RoleTracker::new(start, ms(300));
+    term.record_answer(start);
+    assert_eq!(term.decide(start, true), StoreRole::None);
+    assert_eq!(term.decide(start + ms(500), false), StoreRole::None);
+    term.record_answer(start + ms(750));
+    assert_eq!(term.decide(start + ms(750), true), StoreRole::None);
+    term.record_answer(start + ms(1750));
+    assert_eq!(term.decide(start + ms(1750), true), StoreRole::Delegate);
 }
 
 #[test]
 fn decide_goes_on_until_the_next_one_has_settled() {
     let start = Instant::now();
-    let mut term = DutyTerm::new(start, ms(0));
+    let mut term = RoleTracker::new(start, ms(0));
     let mut at = |after: u64, first: bool| {
-        term.heard(start + ms(after));
+        term.record_answer(start + ms(after));
         term.decide(start + ms(after), first)
     };
     at(0, true);
-    assert_eq!(at(1000, true), Duty::Centre);
-    assert_eq!(at(3750, false), Duty::Centre);
-    assert_eq!(at(4250, false), Duty::None);
+    assert_eq!(at(1000, true), StoreRole::Delegate);
+    assert_eq!(at(3750, false), StoreRole::Delegate);
+    assert_eq!(at(4250, false), StoreRole::None);
 }
 
 /// A daemon that is cut off from all others and not from the store.
 #[test]
 fn decide_of_a_daemon_that_is_cut_off_asks_for_itself() {
     let start = Instant::now();
-    let mut term = DutyTerm::new(start, ms(300));
-    term.heard(start);
-    assert_eq!(term.decide(start + ms(1500), false), Duty::None);
-    assert_eq!(term.decide(start + ms(1750), false), Duty::Own);
-    term.heard(start + ms(4000));
-    assert_eq!(term.decide(start + ms(4000), false), Duty::None);
+    let mut term = RoleTracker::new(start, ms(300));
+    term.record_answer(start);
+    assert_eq!(term.decide(start + ms(1500), false), StoreRole::None);
+    assert_eq!(term.decide(start + ms(1750), false), StoreRole::Isolated);
+    term.record_answer(start + ms(4000));
+    assert_eq!(term.decide(start + ms(4000), false), StoreRole::None);
 }
 
 /// News that one member has reaches all others, over links whose number doesn't
--- a/tests/fault_matrix/world/entry.rs
+++ b/tests/fault_matrix/world/entry.rs
@@ -49,7 +49,7 @@
     /// Finds where a key must go; reads the row anew if nobody owns the key.
     pub(super) fn place(&mut self, n: usize, key: &OnceKey) -> Result<Instance, Refusal> {
         let find = |node: &Node| {
-            place(
+            destination(
                 key,
                 node.row.as_ref().map(|(_, row)| &**row),
                 &node.view,
@@ -58,7 +58,7 @@
         };
         let mut found = find(&self.nodes[n]);
         let mut fresh = false;
-        if found == Place::Refused(Refuse::NotOwned)
+        if found == Destination::Refused(OnceRefusal::NotOwned)
             && !self.platform_cuts.contains(&n)
             && let Ok(row) = now(self.table.read("home"))
         {
@@ -69,10 +69,10 @@
             found = find(&self.nodes[n]);
         }
         match found {
-            Place::At(instance) => Ok(instance),
-            Place::Refused(refuse) => {
+            Destination::Instance(instance) => Ok(instance),
+            Destination::Refused(refuse) => {
                 let refusal = Attempt::plan().refuse_once(refuse);
-                Err(if fresh && refuse == Refuse::NotOwned {
+                Err(if fresh && refuse == OnceRefusal::NotOwned {
                     refusal.of_key()
                 } else {
                     refusal
--- a/tests/fault_matrix/world/guard.rs
+++ b/tests/fault_matrix/world/guard.rs
@@ -35,7 +35,7 @@
         };
         let planned = Attempt::with_id(attempt);
         let own_row = self.nodes[n].row.as_ref().map(|(_, row)| &**row);
-        if let Err(refuse) = authority(key, to, own_row) {
+        if let Err(refuse) = check_owner(key, to, own_row) {
             return self.answer(to, from, attempt, Err(planned.refuse_once(refuse)));
         }
         if self.nodes[n].left_at.is_some() && !self.nodes[n].ledger.has_begun(key) {
@@ -46,13 +46,13 @@
         let hash = key.hash();
         let begin = self.nodes[n].ledger.begin(mint, key, hash);
         match begin {
-            Begin::Start | Begin::Resume => {
+            OnceDecision::Start | OnceDecision::Resume => {
                 self.nodes[n]
                     .attached
                     .entry(key.clone())
                     .or_default()
                     .push((from, attempt));
-                let resumed = begin == Begin::Resume;
+                let resumed = begin == OnceDecision::Resume;
                 self.after(
                     1,
                     Event::Claim {
@@ -62,15 +62,15 @@
                     },
                 );
             }
-            Begin::Attach => {
+            OnceDecision::Attach => {
                 self.nodes[n]
                     .attached
                     .entry(key.clone())
                     .or_default()
                     .push((from, attempt));
             }
-            Begin::Answer(kept) => self.answer(to, from, attempt, Ok(kept)),
-            Begin::Refuse(refuse) => {
+            OnceDecision::Answer(kept) => self.answer(to, from, attempt, Ok(kept)),
+            OnceDecision::Refuse(refuse) => {
                 self.answer(to, from, attempt, Err(planned.refuse_once(refuse)));
             }
         }
@@ -84,7 +84,7 @@
             if keep {
                 self.nodes[n].ledger.release(key);
             } else {
-                self.nodes[n].ledger.retract(key);
+                self.nodes[n].ledger.remove(key);
             }
             let refusal = Attempt::plan().refuse_once(refuse);
             return self.answer_all(at, key, &Err(refusal));
@@ -111,28 +111,28 @@
         own: Instance,
         key: &OnceKey,
         resumed: bool,
-    ) -> Result<(), (Refuse, bool)> {
+    ) -> Result<(), (OnceRefusal, bool)> {
         if self.platform_cuts.contains(&n) {
-            return Err((Refuse::NoPlatform, true));
+            return Err((OnceRefusal::NoPlatform, true));
         }
         let nonce = Nonce(self.rng.random());
         let claim = Claim { owner: own, nonce };
         let content = Bytes::from(serde_json::to_vec(&claim).expect("JSON"));
-        let name = claim_key(&service(), key);
+        let name = claim_row_key(&service(), key);
         match now(settle(&self.table, &name, Condition::Absent, content)) {
             Settled::Written(_) => Ok(()),
             Settled::Lost(row) => {
                 let found = row
                     .and_then(|row| serde_json::from_slice(&row.content).ok())
                     .expect("a claim");
-                match judge_claim(found, own, nonce) {
+                match check_claim(found, own, nonce) {
                     ClaimCheck::Won => Ok(()),
                     ClaimCheck::OwnEarlier if resumed => Ok(()),
-                    ClaimCheck::OwnEarlier => Err((Refuse::Forgotten, false)),
-                    ClaimCheck::Other(_) => Err((Refuse::WrongOwner, false)),
+                    ClaimCheck::OwnEarlier => Err((OnceRefusal::Forgotten, false)),
+                    ClaimCheck::Other(_) => Err((OnceRefusal::WrongOwner, false)),
                 }
             }
-            Settled::NotSent(_) | Settled::Unsettled(_) => Err((Refuse::NoPlatform, true)),
+            Settled::NotSent(_) | Settled::Unsettled(_) => Err((OnceRefusal::NoPlatform, true)),
         }
     }
 
@@ -166,7 +166,7 @@
     pub(super) fn finish(&mut self, at: Instance, key: &OnceKey) {
         let Some(n) = self.number(at) else { return };
         self.running.remove(&(at, key.clone()));
-        let kept = Kept {
+        let kept = StoredAnswer {
             status: 200,
             headers: Vec::new(),
             body: Some(key.to_string().into_bytes().into()),
--- a/tests/fault_matrix/world/membership.rs
+++ b/tests/fault_matrix/world/membership.rs
@@ -4,11 +4,11 @@
 
 impl World {
     pub(super) fn take_row(&mut self, n: usize, revision: Revision, content: &[u8]) {
-        let row = HomeRow::decode(content).expect("a home row");
+        let row = OwnershipRow::decode(content).expect("a home row");
         self.keep_row(n, revision, Rc::new(row));
     }
 
-    pub(super) fn keep_row(&mut self, n: usize, revision: Revision, row: Rc<HomeRow>) {
+    pub(super) fn keep_row(&mut self, n: usize, revision: Revision, row: Rc<OwnershipRow>) {
         let known = self.nodes[n].row.as_ref().map(|(r, _)| *r);
         if known.is_none_or(|known| known < revision) {
             self.nodes[n].row = Some((revision, row));
@@ -49,14 +49,14 @@
             .collect();
         let horizon = Horizon {
             ahead: Duration::from_millis(HORIZON_MS),
-            memory: Duration::from_secs(3600),
+            retention: Duration::from_secs(3600),
         };
         let known = self.nodes[n].row.clone();
         let row = known
             .as_ref()
             .map(|(_, row)| (**row).clone())
             .unwrap_or_default();
-        let Some(next) = plan(&row, self.mint(), &live, horizon) else {
+        let Some(next) = plan_ownership(&row, self.mint(), &live, horizon) else {
             return;
         };
         if !row.allows(&next, self.nodes[n].instance) {
@@ -84,7 +84,7 @@
                 .map(|m| m.instance);
             let at = self.instant();
             if let Some(known) = known {
-                self.nodes[n].view.call_silent(at, known);
+                self.nodes[n].view.mark_silent(at, known);
             }
         }
     }
@@ -93,7 +93,7 @@
         &mut self,
         to: usize,
         members: Vec<Member>,
-        row: Option<(Revision, Rc<HomeRow>)>,
+        row: Option<(Revision, Rc<OwnershipRow>)>,
         version: Version,
     ) {
         if !self.nodes[to].up {
@@ -111,8 +111,8 @@
 
     pub(super) fn take_version(&mut self, n: usize, version: Version) {
         let before = self.nodes[n].rollout.current();
-        if self.nodes[n].rollout.offer(version) == Offer::Take {
-            self.nodes[n].rollout.take(version);
+        if self.nodes[n].rollout.decide(version) == VersionDecision::Apply {
+            self.nodes[n].rollout.advance(version);
         }
         if self.nodes[n].rollout.current() < before {
             self.violations
--- a/tests/fault_matrix/world/mod.rs
+++ b/tests/fault_matrix/world/mod.rs
@@ -16,10 +16,13 @@
     AttemptId, Instance, MintTime, OnceKey, ServiceName, StartStamp, Verdict, Version,
 };
 use bramleymount::policy::admission::Shed;
-use bramleymount::policy::member::{Beat, Member, MemberState, Offer, Rollout, View};
+use bramleymount::policy::member::{
+    Incarnation, Member, MemberState, Rollout, VersionDecision, View,
+};
 use bramleymount::policy::once::{
-    Begin, Claim, ClaimCheck, HomeRow, Horizon, Kept, Ledger, LedgerLimits, Nonce, Place, Refuse,
-    State, Successor, authority, claim_key, hand_over, judge_claim, place, plan,
+    Claim, ClaimCheck, Destination, Horizon, KeyState, Ledger, LedgerLimits, Nonce, OnceDecision,
+    OnceRefusal, OwnershipRow, StoredAnswer, Successor, check_claim, check_owner, claim_row_key,
+    destination, hand_over, plan_ownership,
 };
 use bramleymount::store::{Condition, Revision, Settled, TableStore, settle};
 use bytes::Bytes;
@@ -58,7 +61,7 @@
     Mixed,
 }
 
-type Answered = Result<Kept, Refusal>;
+type Answered = Result<StoredAnswer, Refusal>;
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -100,7 +103,7 @@
     Gossip {
         to: usize,
         members: Vec<Member>,
-        row: Option<(Revision, Rc<HomeRow>)>,
+        row: Option<(Revision, Rc<OwnershipRow>)>,
         version: Version,
     },
     StopStep {
@@ -127,7 +130,7 @@
 struct Node {
     instance: Instance,
     view: View,
-    row: Option<(Revision, Rc<HomeRow>)>,
+    row: Option<(Revision, Rc<OwnershipRow>)>,
     ledger: Ledger,
     attached: HashMap<OnceKey, Vec<(Instance, AttemptId)>>,
     out: HashMap<AttemptId, Out>,
@@ -242,13 +245,13 @@
             instance,
             centre: format!("centre-{number}").parse().expect("a name"),
             service: service(),
-            beat: Beat(1),
+            incarnation: Incarnation(1),
             state: MemberState::Serving,
             slots: None,
         };
         let limits = LedgerLimits {
             bytes: 1 << 20,
-            memory: Duration::from_secs(3600),
+            retention: Duration::from_secs(3600),
         };
         Node {
             instance,
--- a/tests/fault_matrix/world/stop.rs
+++ b/tests/fault_matrix/world/stop.rs
@@ -11,7 +11,7 @@
                 self.nodes[n].left_at = Some(self.time);
                 self.nodes[n]
                     .view
-                    .say(instant, |own| own.state = MemberState::Leaving);
+                    .update_own(instant, |own| own.state = MemberState::Leaving);
                 self.after(1500, Event::StopStep { at, step: 1 });
             }
             1 => {
@@ -34,7 +34,7 @@
                 }
                 self.nodes[n]
                     .view
-                    .say(instant, |own| own.state = MemberState::Left);
+                    .update_own(instant, |own| own.state = MemberState::Left);
                 self.crash(n);
             }
             _ => {}
@@ -53,7 +53,7 @@
         if !reached || self.nodes[to].ledger.is_stopped() {
             return;
         }
-        let entries: Vec<(OnceKey, State, u64)> = self.nodes[n]
+        let entries: Vec<(OnceKey, KeyState, u64)> = self.nodes[n]
             .ledger
             .entries()
             .map(|(key, entry)| (key.clone(), entry.state.clone(), entry.body_hash))
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bramleymount::model::{MintTime, OnceKey};
-use bramleymount::policy::once::{Begin, Kept, Ledger, LedgerLimits, Refuse};
+use bramleymount::policy::once::{Ledger, LedgerLimits, OnceDecision, OnceRefusal, StoredAnswer};
 use uuid::{NoContext, Timestamp, Uuid};
 
 const SECOND: u64 = 1_000_000;
@@ -15,9 +15,9 @@
     OnceKey::Dated(Uuid::new_v7(time))
 }
 
-fn kept(size: usize) -> Kept {
+fn kept(size: usize) -> StoredAnswer {
     let body = Some(vec![0; size].into());
-    Kept {
+    StoredAnswer {
         status: 200,
         headers: Vec::new(),
         body,
@@ -25,8 +25,8 @@
 }
 
 fn ledger(bytes: usize) -> Ledger {
-    let memory = Duration::from_secs(3600);
-    Ledger::new(LedgerLimits { bytes, memory })
+    let retention = Duration::from_secs(3600);
+    Ledger::new(LedgerLimits { bytes, retention })
 }
 
 #[test]
@@ -35,14 +35,17 @@
     let keys: Vec<OnceKey> = (0..100).map(|n| key(SECOND + n * 10)).collect();
     for (n, key) in keys.iter().enumerate() {
         let now = MintTime::from_millis(SECOND + n as u64 * 10);
-        assert_eq!(ledger.begin(now, key, 1), Begin::Start);
+        assert_eq!(ledger.begin(now, key, 1), OnceDecision::Start);
         ledger.finish(key, kept(10_000));
         assert!(ledger.bytes() <= 200_000);
     }
     let now = MintTime::from_millis(SECOND + 2000);
     let again = ledger.begin(now, &keys[0], 1);
-    assert_eq!(again, Begin::Refuse(Refuse::Forgotten));
-    assert!(matches!(ledger.begin(now, &keys[99], 1), Begin::Answer(_)));
+    assert_eq!(again, OnceDecision::Refuse(OnceRefusal::Forgotten));
+    assert!(matches!(
+        ledger.begin(now, &keys[99], 1),
+        OnceDecision::Answer(_)
+    ));
 }
 
 #[test]
@@ -54,9 +57,9 @@
         ledger.begin(now, &key, 1);
         ledger.finish(&key, kept(10_000));
     }
-    let memory = Duration::from_secs(3600);
+    let retention = Duration::from_secs(3600);
     let bytes = 100_000;
-    ledger.set_limits(LedgerLimits { bytes, memory });
+    ledger.set_limits(LedgerLimits { bytes, retention });
     ledger.begin(now, &key(SECOND + 500), 1);
     assert!(ledger.bytes() <= bytes, "{}", ledger.bytes());
 }
@@ -65,11 +68,11 @@
 fn begin_refuses_when_all_run() {
     let mut ledger = ledger(60_000);
     let now = MintTime::from_millis(SECOND);
-    let begun: Vec<Begin> = (0..5)
+    let begun: Vec<OnceDecision> = (0..5)
         .map(|n| ledger.begin(now, &key(SECOND + n), 1))
         .collect();
-    assert_eq!(begun[0], Begin::Start);
-    assert_eq!(begun[4], Begin::Refuse(Refuse::LedgerFull));
+    assert_eq!(begun[0], OnceDecision::Start);
+    assert_eq!(begun[4], OnceDecision::Refuse(OnceRefusal::LedgerFull));
 }
 
 #[test]
@@ -81,6 +84,6 @@
     ledger.finish(&key, kept(100_000));
     assert_eq!(
         ledger.begin(now, &key, 1),
-        Begin::Refuse(Refuse::AnswerNotKept)
+        OnceDecision::Refuse(OnceRefusal::AnswerNotKept)
     );
 }
--- a/tests/member_news.rs
+++ b/tests/member_news.rs
@@ -9,7 +9,7 @@
 #![allow(missing_docs)]
 
 use bramleymount::model::Instance;
-use bramleymount::policy::member::{Beat, Change, Member, MemberState, Page, View};
+use bramleymount::policy::member::{ChangeCount, Incarnation, Member, MemberState, Page, View};
 use tokio::time::Instant;
 
 fn instance(number: usize) -> Instance {
@@ -22,7 +22,7 @@
         instance: instance(number),
         centre: "dc-a".parse().expect("a name"),
         service: "svc".parse().expect("a name"),
-        beat: Beat(beat),
+        incarnation: Incarnation(beat),
         state: MemberState::Serving,
         slots: None,
     }
@@ -36,9 +36,9 @@
 }
 
 /// Tells all that changed since, without a bound.
-fn told_since(view: &View, since: Change, told: &[Member]) -> Vec<Member> {
+fn told_since(view: &View, since: ChangeCount, told: &[Member]) -> Vec<Member> {
     let page = view.page(since, usize::MAX, told);
-    assert_eq!(page.at, view.change());
+    assert_eq!(page.change, view.change());
     page.members
 }
 
@@ -48,7 +48,7 @@
     let (asker, mut asked) = (view(1, &[2, 3, 4]), view(2, &[3, 5]));
     let told: Vec<Member> = asker.members().cloned().collect();
     asked.merge_all(now, told.iter().cloned());
-    let answer = told_since(&asked, Change::default(), &told);
+    let answer = told_since(&asked, ChangeCount::default(), &told);
     // 2 itself and 3 and 4 were told; 5 was not.
     assert_eq!(answer, [member(5, 1)]);
 }
@@ -60,7 +60,7 @@
     asked.merge_all(now, [member(3, 7)].into_iter());
     let told: Vec<Member> = asker.members().cloned().collect();
     asked.merge_all(now, told.iter().cloned());
-    let answer = told_since(&asked, Change::default(), &told);
+    let answer = told_since(&asked, ChangeCount::default(), &told);
     assert_eq!(answer, [member(3, 7)]);
 }
 
@@ -72,7 +72,7 @@
     view.merge_all(now, [member(2, 2), member(4, 1)].into_iter());
     assert_eq!(told_since(&view, at, &[]), [member(2, 2), member(4, 1)]);
     assert_eq!(told_since(&view, at, &[member(4, 1)]), [member(2, 2)]);
-    assert!(told_since(&view, Change(u64::MAX), &[]).is_empty());
+    assert!(told_since(&view, ChangeCount(u64::MAX), &[]).is_empty());
 }
 
 /// However much there is to tell, a message holds only so much of it, and those
@@ -82,13 +82,13 @@
     let others: Vec<usize> = (2..100).collect();
     let view = view(1, &others);
     let mut told = Vec::new();
-    let mut since = Change::default();
+    let mut since = ChangeCount::default();
     while since < view.change() {
-        let Page { members, at } = view.page(since, 10, &[]);
+        let Page { members, change } = view.page(since, 10, &[]);
         assert!(members.len() <= 10);
-        assert!(at > since);
+        assert!(change > since);
         told.extend(members);
-        since = at;
+        since = change;
     }
     let mut all: Vec<Member> = view.members().cloned().collect();
     all.sort_by_key(|m| m.instance);
@@ -114,10 +114,10 @@
     let now = Instant::now();
     let mut view = view(1, &[2, 3]);
     let sent = view.change();
-    let told = view.merge_told(now, [member(4, 1)].into_iter(), sent);
+    let told = view.merge_reply(now, [member(4, 1)].into_iter(), sent);
     assert_eq!(told, view.change());
     // Something else changed between what was sent and the answer.
     view.merge_all(now, [member(5, 1)].into_iter());
-    let told = view.merge_told(now, [member(6, 1)].into_iter(), sent);
+    let told = view.merge_reply(now, [member(6, 1)].into_iter(), sent);
     assert_eq!(told, sent);
 }
--- a/tests/readers.rs
+++ b/tests/readers.rs
@@ -93,7 +93,7 @@
     assert_eq!(service.as_str(), "svc");
     assert_eq!(news.intent, Intent::Serve);
     assert_eq!(
-        news.born.map(|born| born.as_millis()),
+        news.start.map(|born| born.as_millis()),
         Some(1_764_720_000_123)
     );
 }
--- a/tests/silent_neighbour.rs
+++ b/tests/silent_neighbour.rs
@@ -12,7 +12,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use bramleymount::policy::member::{Beat, Member, MemberState};
+use bramleymount::policy::member::{Incarnation, Member, MemberState};
 use support::eventually;
 use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
 
@@ -26,7 +26,7 @@
         instance: format!("{address}@1").parse().expect("an instance"),
         centre: "hall-a".parse().expect("a name"),
         service: "svc".parse().expect("a name"),
-        beat: Beat(1),
+        incarnation: Incarnation(1),
         state: MemberState::Serving,
         slots: None,
     }
--- a/tests/store_calls.rs
+++ b/tests/store_calls.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use bramleymount::policy::member::Duty;
+use bramleymount::policy::member::StoreRole;
 use support::eventually;
 use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
 use support::rows::RowsStandIn;
@@ -65,7 +65,7 @@
     in_force(vms, 7).await;
     all_known(vms).await;
     eventually("delegates", || async {
-        let acts = |vm: &&Vm| *vm.daemon.shared().duty.borrow() == Duty::Centre;
+        let acts = |vm: &&Vm| *vm.daemon.shared().duty.borrow() == StoreRole::Delegate;
         (vms.iter().filter(acts).count() == 4).then_some(())
     })
     .await;
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -11,7 +11,7 @@
 
 use bramleymount::model::{CrashId, Fingerprint};
 use bramleymount::policy::crash::{Standing, Suspect, Suspects};
-use bramleymount::policy::member::Change;
+use bramleymount::policy::member::ChangeCount;
 use proptest::prelude::*;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -229,7 +229,7 @@
     for number in 0..3 {
         let mut one = Suspects::default();
         crash_under(&mut one, now, number, &[DEADLY, 100 + u128::from(number)]);
-        let (news, _) = one.changed(now, Change::default());
+        let (news, _) = one.changed(now, ChangeCount::default());
         for suspect in &news {
             assert!(all.merge(now, suspect));
             assert!(!all.merge(now, suspect), "told twice is no news");
@@ -295,15 +295,15 @@
         };
         let (mut one, mut other) = (play(&ours), play(&theirs));
         for _ in 0..2 {
-            for news in one.changed(now, Change::default()).0 {
+            for news in one.changed(now, ChangeCount::default()).0 {
                 other.merge(now, &news);
             }
-            for news in other.changed(now, Change::default()).0 {
+            for news in other.changed(now, ChangeCount::default()).0 {
                 one.merge(now, &news);
             }
         }
         prop_assert_eq!(one.get(now, DEADLY), other.get(now, DEADLY));
-        for news in one.changed(now, Change::default()).0 {
+        for news in one.changed(now, ChangeCount::default()).0 {
             prop_assert!(!other.merge(now, &news));
         }
     }
