--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -12,7 +12,7 @@
 
 use crate::declare::Limit;
 use crate::model::WorkspaceName;
-use crate::policy::member::{Change, View};
+use crate::policy::member::{ChangeCount, View};
 use crate::policy::rate::{
     CreditBucket, CreditDecision, CreditGrant, CreditQuery, HashRing, LocalCredit, RateTolerance,
     Sharing,
@@ -46,7 +46,7 @@
 /// The ring, and since when it has been as it is.
 #[derive(Debug)]
 struct Known {
-    change: Option<Change>,
+    change: Option<ChangeCount>,
     ring: Arc<HashRing>,
     since: Instant,
 }
