--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -8,7 +8,7 @@
 };
 use bramleymount::policy::admission::{Admission, Decision, Outcome, Settings, Token, Waiting};
 use bramleymount::policy::retry::Account;
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -53,13 +53,13 @@
         let mut account = Account::open(Retries::new(3));
         let loan = account.lend();
         let table = &mut tables[call as usize % SERVICES];
-        let want = Want {
+        let want = CallNeeds {
             level: priority.level(),
             protected: false,
             avoid: None,
         };
         if let Pick::Target(target) = table.choose(now, want, &mut rng) {
-            table.report(now, target, Report::Heard(GuardNews::default()));
+            table.report(now, target, AttemptReport::Responded(GuardNews::default()));
         }
         let token = Token(call);
         let deadline = now + std::time::Duration::from_secs(1);
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    pub(super) fn want(&self, call: CallId, avoid: Option<ServerId>) -> Want {
-        Want {
+    pub(super) fn want(&self, call: CallId, avoid: Option<ServerId>) -> CallNeeds {
+        CallNeeds {
             level: self.priority(call).level(),
             protected: self.is_protected(call),
             avoid: avoid.map(|id| self.servers[id].instance),
@@ -155,14 +155,14 @@
         match table.choose(now, want, &mut self.rng) {
             Pick::Target(instance) | Pick::Wait(instance) => Ok(self.by_instance[&instance]),
             Pick::Refused(level) => Err(Some(level)),
-            Pick::Nothing => Err(None),
+            Pick::NoTarget => Err(None),
         }
     }
 
-    pub(super) fn report(&mut self, call: CallId, report: Report) {
+    pub(super) fn report(&mut self, call: CallId, report: AttemptReport) {
         let now = self.instant();
-        if self.variant.off == Off::Eject && report == Report::Failed {
-            return self.report(call, Report::Abandoned);
+        if self.variant.off == Off::Eject && report == AttemptReport::Failed {
+            return self.report(call, AttemptReport::Abandoned);
         }
         let c = &self.calls[call];
         let Some(target) = c.target else { return };
@@ -179,7 +179,7 @@
             self.servers[entry].silent.remove(&target);
         }
         if self.variant.control == Control::Now {
-            self.report(call, Report::Failed);
+            self.report(call, AttemptReport::Failed);
             if let Some(loan) = self.calls[call].loan.take() {
                 self.with_account(call, |account| account.write_off(loan.id));
             }
@@ -215,7 +215,7 @@
         }
         if self.variant.control == Control::Now {
             let news = self.calls[call].news;
-            self.report(call, Report::Heard(news));
+            self.report(call, AttemptReport::Responded(news));
             let rest = match &mut self.calls[call].account {
                 Some(account) => account.close(),
                 None => self.calls[call]
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -18,7 +18,7 @@
     Admission, Decision, Event as Admitted, Met, Outcome, Settings, Shed, Token, Waiting,
 };
 use bramleymount::policy::retry::{Account, Failure, Loan, Ratio, Retry, Safety, decide};
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -7,7 +7,7 @@
 
 use super::{LogFormat, LogLevel};
 use crate::model::{CentreName, HallName, ServiceName, Span};
-use crate::policy::front::Front;
+use crate::policy::front::FrontMode;
 use crate::policy::rate::Sharing;
 use crate::policy::route::Balance;
 
@@ -29,7 +29,7 @@
     #[serde(default)]
     pub(super) metrics: Option<SocketAddr>,
     #[serde(default)]
-    pub(super) front: Front,
+    pub(super) front: FrontMode,
     #[serde(default)]
     pub(super) workers: Option<Spanned<usize>>,
     #[serde(default)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,7 +9,7 @@
 use crate::declare::{Errors, parse, read};
 use crate::error::Error;
 use crate::model::{CentreName, HallName, ServiceName, Span};
-use crate::policy::front::Front;
+use crate::policy::front::FrontMode;
 use crate::policy::rate::Terms;
 use crate::policy::retry::AllowanceSettings;
 use crate::policy::route::Balance;
@@ -71,7 +71,7 @@
     /// Where metrics go by UDP, if anywhere.
     pub metrics: Option<SocketAddr>,
     /// Which trees of calls begin, and when refused callers return.
-    pub front: Front,
+    pub front: FrontMode,
     /// Threads that take calls from callers.
     pub workers: usize,
     /// Requests of one connection of a caller that may be under way; with one
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -12,7 +12,7 @@
 use crate::error::Error;
 use crate::model::{CentreName, HallName, ServiceName, Slots, Span, Version};
 use crate::operator::{ApplyRequest, ApplyResult, apply};
-use crate::policy::front::Front;
+use crate::policy::front::FrontMode;
 use crate::policy::route::Balance;
 use crate::store::Memory;
 
@@ -215,7 +215,7 @@
             hosting: None,
             balance: Balance::default(),
             metrics: None,
-            front: Front::default(),
+            front: FrontMode::default(),
             workers: 1,
             ahead: 1,
             fair: false,
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -15,7 +15,7 @@
     AttemptId, CallerName, ClassRank, Depth, OnceKey, Priority, Retries, RootId, ServiceName,
     WorkspaceId, WorkspaceName,
 };
-use crate::policy::front::Options;
+use crate::policy::front::FrontOptions;
 use crate::policy::retry::Safety;
 use crate::tables::{Held, Shared};
 
@@ -40,7 +40,7 @@
     /// The workspace of the caller's key.
     pub(super) workspace: Option<CallerWorkspace>,
     /// What the front decides besides the levels.
-    pub(super) options: Options,
+    pub(super) options: FrontOptions,
     /// The time that the caller has, if it tells and a route matched.
     pub(super) patience: Option<Patience>,
 }
@@ -179,7 +179,7 @@
 fn is_single(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
     let table = shared.routes.table(service);
     let table = table.lock();
-    table.is_single(rank)
+    table.is_single_call(rank)
 }
 
 fn head(
--- a/src/entry/again.rs
+++ b/src/entry/again.rs
@@ -80,7 +80,7 @@
         self.table(|table| {
             self.purse.with(|account| {
                 decide(failure, safety, account, || {
-                    table.retries().take(now, level, root)
+                    table.retry_budget().take(now, level, root)
                 })
             })
         }) == Retry::Again
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -10,7 +10,7 @@
 use crate::policy::admission::Shed;
 use crate::policy::crash::{Standing, Suspect};
 use crate::policy::once::{Place, Refuse};
-use crate::policy::route::{Pick, Table, Want};
+use crate::policy::route::{CallNeeds, Pick, Table};
 
 impl Forward<'_> {
     /// Chooses where an attempt goes, or says why nowhere.
@@ -44,13 +44,13 @@
                 Ok((attempt, instance))
             }
             Pick::Refused(_) => Err(self.refuse(now, attempt)),
-            Pick::Nothing => Err(attempt.refuse(Reason::Unreachable, "no server takes calls")),
+            Pick::NoTarget => Err(attempt.refuse(Reason::Unreachable, "no server takes calls")),
         }
     }
 
     /// Refuses a call whose level no server of the service admits.
     fn refuse(&self, now: Instant, attempt: Attempt<Planned>) -> Refusal {
-        let wait = self.table(|table| table.wait(now));
+        let wait = self.table(|table| table.rate_delay(now));
         let shed = wait.map_or(Shed::Overload, |_| Shed::Limited);
         let mut refusal = attempt.refuse(Reason::Shed(shed), "");
         let soonest = wait.unwrap_or_default();
@@ -60,12 +60,12 @@
 
     /// Chooses a target; once the call has been sent to as many backend servers
     /// as it may, one of those that refused it without running it.
-    fn choose(&self, table: &mut Table, now: Instant, want: Want) -> Pick {
+    fn choose(&self, table: &mut Table, now: Instant, want: CallNeeds) -> Pick {
         if self.rejected_by.len() >= self.accepted.attempts as usize {
             return table.choose_among(now, &self.rejected_by);
         }
         let picked = match table.choose_except(now, want, &self.tried, &mut rand::rng()) {
-            Pick::Nothing if !self.rejected_by.is_empty() => {
+            Pick::NoTarget if !self.rejected_by.is_empty() => {
                 table.choose_among(now, &self.rejected_by)
             }
             picked => picked,
@@ -91,8 +91,8 @@
         Some(self.context.shared.suspects.standing(request))
     }
 
-    fn want(&self) -> Want {
-        Want {
+    fn want(&self) -> CallNeeds {
+        CallNeeds {
             level: self.head().priority.level(),
             protected: self.accepted.protected,
             avoid: None,
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -15,7 +15,7 @@
 use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
 use crate::peer::{self, Message};
 use crate::policy::admission::Met;
-use crate::policy::front::{CUT_OFF, is_cut_off};
+use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{Account, Loan, Safety};
 use crate::policy::route::Table;
 use crate::tables::{Detail, Step};
@@ -94,7 +94,7 @@
             let cut_off = self.is_cut_off(now, &result);
             let demand = if cut_off {
                 self.context.shared.metrics.count("service_cut_off");
-                CUT_OFF
+                UNREACHABLE_DEMAND
             } else {
                 self.table(|table| table.demand(now))
             };
@@ -121,12 +121,12 @@
         let unreachable = matches!(result, Err(refusal) if refusal.reason() == Reason::Unreachable);
         self.accepted.options.fail_fast
             && unreachable
-            && self.table(|table| is_cut_off(now, table, &self.asked))
+            && self.table(|table| is_unreachable(now, table, &self.asked))
     }
 
     async fn attempts(&mut self, body: Bytes) -> Result<Reply, Refusal> {
         let now = Instant::now();
-        self.table(|table| table.retries().asked(now));
+        self.table(|table| table.retry_budget().asked(now));
         self.refresh_home().await?;
         let mut last = None;
         loop {
@@ -239,7 +239,8 @@
             return false;
         }
         let now = Instant::now();
-        self.accepted.safety == Safety::Once || !self.table(|table| table.is_fresh(now, target))
+        self.accepted.safety == Safety::Once
+            || !self.table(|table| table.has_recent_status(now, target))
     }
 
     fn settle(&self, loan: Loan, result: &Result<Reply, Refusal>) {
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -12,7 +12,7 @@
 use crate::call::{Reason, Refusal};
 use crate::model::{ClassRank, Level, Priority, RouteName, ServiceName, Verdict};
 use crate::policy::admission::Shed;
-use crate::policy::front::{Outlook, RefusedCaller, RetryDetector, backoff, boosted};
+use crate::policy::front::{AdmittedShare, RefusedCaller, RetryDetector, backoff, boosted_root};
 
 /// Most routes, and most classes of services, of which anything is known; the
 /// names of earlier configurations are dropped when there are more.
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub(super) struct Known {
     retries: Mutex<HashMap<RouteName, RetryDetector>>,
-    outlooks: Mutex<HashMap<(ServiceName, ClassRank), Outlook>>,
+    outlooks: Mutex<HashMap<(ServiceName, ClassRank), AdmittedShare>>,
 }
 
 impl Known {
@@ -41,14 +41,20 @@
     }
 
     /// Takes note of the level that a service demands of a class.
-    fn see(&self, now: Instant, service: &ServiceName, rank: ClassRank, level: Level) -> Outlook {
+    fn see(
+        &self,
+        now: Instant,
+        service: &ServiceName,
+        rank: ClassRank,
+        level: Level,
+    ) -> AdmittedShare {
         let mut outlooks = self.outlooks.lock();
         let key = (service.clone(), rank);
         if !outlooks.contains_key(&key) && outlooks.len() >= MAX_KNOWN {
             outlooks.clear();
         }
         let outlook = outlooks.entry(key).or_default();
-        outlook.see(now, rank, level);
+        outlook.record(now, rank, level);
         *outlook
     }
 }
@@ -70,7 +76,7 @@
         self.shared.metrics.count("caller_retries");
         let head = &mut accepted.head;
         if accepted.options.boost && !head.single {
-            head.root = boosted(head.root);
+            head.root = boosted_root(head.root);
             head.priority = Priority::new(head.priority.rank(), head.depth, head.root);
         }
     }
@@ -92,8 +98,8 @@
         let level = table.lock().demand(now).of(rank);
         let outlook = self.known.see(now, service, rank, level);
         let caller = RefusedCaller {
-            left: patience.left(now),
-            spare: patience.spare,
+            time_left: patience.left(now),
+            slack: patience.spare,
         };
         let Some(time) = backoff(caller, &outlook, &mut rand::rng()) else {
             return;
@@ -106,8 +112,8 @@
                 service = service.as_str(),
                 class = accepted.head.class.as_str(),
                 retry_after_ms = time.as_millis() as u64,
-                left_ms = caller.left.as_millis() as u64,
-                open = outlook.open(),
+                left_ms = caller.time_left.as_millis() as u64,
+                open = outlook.current(),
                 trend = outlook.trend().as_str()
             });
         }
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -48,7 +48,7 @@
         self.table(|table| {
             let admits = table.admits(now, instance);
             if admits {
-                table.sent(instance);
+                table.record_sent(instance);
             }
             admits
         })
--- a/src/entry/sending.rs
+++ b/src/entry/sending.rs
@@ -5,7 +5,7 @@
 use super::forward::Forward;
 use crate::call::{Reason, Refusal, Reply};
 use crate::model::Instance;
-use crate::policy::route::{Kind, Report, Table, Took};
+use crate::policy::route::{AttemptReport, CallKind, CallTime, Table};
 
 /// Reports to the table of targets how an attempt ended, also if the caller
 /// went away first.
@@ -35,13 +35,13 @@
         };
         let report = match news {
             Some(news) if matches!(result, Err(r) if r.reason() == Reason::Rejected) => {
-                Report::Rejected(news)
+                AttemptReport::Rejected(news)
             }
-            Some(news) => Report::Heard(news),
+            Some(news) => AttemptReport::Responded(news),
             None if matches!(result, Err(refusal) if refusal.reason().is_silence()) => {
-                Report::Silent
+                AttemptReport::Unreachable
             }
-            None => Report::Failed,
+            None => AttemptReport::Failed,
         };
         let notices = &self.forward.context.shared.notices;
         match (result, news.and_then(|news| news.told)) {
@@ -55,7 +55,7 @@
             table.report(now, self.target, report);
             self.time(table, now, result);
             if let Ok(reply) = result {
-                table.retries().answered();
+                table.retry_budget().answered();
                 self.learn(table, reply);
             }
         });
@@ -68,15 +68,15 @@
         let time = now.saturating_duration_since(self.sent);
         let took = match result {
             Ok(reply) if reply.head.kept => return,
-            Ok(reply) if reply.head.status.is_success() => Took::Answered(time),
-            Ok(_) | Err(_) => Took::GivenUp(time),
+            Ok(reply) if reply.head.status.is_success() => CallTime::Answered(time),
+            Ok(_) | Err(_) => CallTime::Unanswered(time),
         };
-        table.took(now, self.target, self.kind(), took);
+        table.record_time(now, self.target, self.kind(), took);
     }
 
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> CallKind {
         let head = self.forward.head();
-        Kind {
+        CallKind {
             rank: head.priority.rank(),
             depth: head.depth,
         }
@@ -86,7 +86,7 @@
     fn learn(&self, table: &mut Table, reply: &Reply) {
         let own = self.forward.accepted.parent.is_none() && self.forward.head().once.is_none();
         if own && !reply.head.status.is_server_error() {
-            table.own_call(self.forward.head().priority.rank(), reply.head.onward);
+            table.record_own_call(self.forward.head().priority.rank(), reply.head.onward);
         }
     }
 }
@@ -95,10 +95,10 @@
     fn drop(&mut self) {
         if !self.reported {
             let now = Instant::now();
-            let took = Took::GivenUp(now.saturating_duration_since(self.sent));
+            let took = CallTime::Unanswered(now.saturating_duration_since(self.sent));
             self.forward.table(|table| {
-                table.report(now, self.target, Report::Abandoned);
-                table.took(now, self.target, self.kind(), took);
+                table.report(now, self.target, AttemptReport::Abandoned);
+                table.record_time(now, self.target, self.kind(), took);
             });
         }
     }
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -106,7 +106,7 @@
             other => version_of(&self.shared, &self.pool, other).await,
         };
         let table = self.shared.routes.table(&member.service);
-        let pace = table.lock().pace(Instant::now(), member.instance);
+        let pace = table.lock().latency_ratio(Instant::now(), member.instance);
         MemberLine {
             instance: member.instance,
             centre: member.centre,
--- a/src/policy/front/mod.rs
+++ b/src/policy/front/mod.rs
@@ -11,18 +11,18 @@
 //! others but the root of a request, which places its whole tree in the order
 //! of admission.
 
+mod admitted_share;
 mod backoff;
 mod boost;
 mod mode;
 mod options;
-mod outlook;
-mod reach;
-mod retries;
+mod retry_detector;
+mod unreachable;
 
+pub use admitted_share::{AdmittedShare, Trend};
 pub use backoff::{RefusedCaller, backoff};
-pub use boost::boosted;
-pub use mode::Front;
-pub use options::Options;
-pub use outlook::{Outlook, Trend};
-pub use reach::{CUT_OFF, is_cut_off};
-pub use retries::RetryDetector;
+pub use boost::boosted_root;
+pub use mode::FrontMode;
+pub use options::FrontOptions;
+pub use retry_detector::RetryDetector;
+pub use unreachable::{UNREACHABLE_DEMAND, is_unreachable};
--- a/src/policy/front/mode.rs
+++ b/src/policy/front/mode.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Deserializer};
 
-use super::Options;
+use super::FrontOptions;
 use crate::error::Error;
 
 /// How the front of an estate treats trees of calls and refused callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Front {
+pub enum FrontMode {
     /// By levels alone; refused callers return after a second or so.
     #[default]
     Levels,
@@ -22,21 +22,21 @@
     FailFast,
 }
 
-impl Front {
+impl FrontMode {
     /// Returns what is decided besides the levels.
-    pub const fn options(self) -> Options {
-        let none = Options::NONE;
+    pub const fn options(self) -> FrontOptions {
+        let none = FrontOptions::NONE;
         match self {
             Self::Levels => none,
-            Self::Backoff => Options {
+            Self::Backoff => FrontOptions {
                 backoff: true,
                 ..none
             },
-            Self::Boost => Options {
+            Self::Boost => FrontOptions {
                 boost: true,
                 ..none
             },
-            Self::FailFast => Options {
+            Self::FailFast => FrontOptions {
                 fail_fast: true,
                 ..none
             },
@@ -44,7 +44,7 @@
     }
 }
 
-impl fmt::Display for Front {
+impl fmt::Display for FrontMode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
             Self::Levels => "levels",
@@ -55,7 +55,7 @@
     }
 }
 
-impl FromStr for Front {
+impl FromStr for FrontMode {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -72,7 +72,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Front {
+impl<'de> Deserialize<'de> for FrontMode {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
         text.parse().map_err(serde::de::Error::custom)
--- a/src/policy/front/options.rs
+++ b/src/policy/front/options.rs
@@ -2,7 +2,7 @@
 
 /// What the front of an estate decides besides the levels.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Options {
+pub struct FrontOptions {
     /// When refused callers return, by their time and the demand.
     pub backoff: bool,
     /// Callers who come back go before others of their class.
@@ -11,7 +11,7 @@
     pub fail_fast: bool,
 }
 
-impl Options {
+impl FrontOptions {
     /// Decides nothing besides the levels.
     pub const NONE: Self = Self {
         backoff: false,
--- a/src/policy/front/retries.rs
+++ b/src/policy/front/retry_detector.rs
@@ -6,24 +6,24 @@
 use tokio::time::Instant;
 
 /// Times that differ by less than this share count as one.
-const STEP: f64 = 0.01;
+const LOG_STEP: f64 = 0.01;
 /// Steps below the initial time from which on a request counts as a retry. A
 /// caller who retries sooner has hardly waited.
-const GAP: u32 = 5;
+const MIN_STEP_GAP: u32 = 5;
 /// Requests without which no time stands out.
-const ENOUGH: f64 = 16.0;
+const MIN_REQUESTS: f64 = 16.0;
 /// Least share of requests that are first attempts. Callers retry once or
 /// twice, so a third of all requests is new.
-const FIRST_SHARE: f64 = 0.25;
+const MIN_FIRST_SHARE: f64 = 0.25;
 /// Share of requests at one shorter time from which on it belongs to callers of
 /// another kind; times of retries are spread.
-const OTHER_SHARE: f64 = 0.125;
+const OTHER_KIND_SHARE: f64 = 0.125;
 /// Time in which past requests lose half of their weight.
 const HALF_LIFE: Duration = Duration::from_secs(5);
 /// Half-lives after which nothing is left of past requests.
-const MEMORY: u32 = 10;
+const MAX_HALF_LIVES: u32 = 10;
 /// Weight below which a time is forgotten.
-const LEAST_WEIGHT: f64 = 0.1;
+const MIN_WEIGHT: f64 = 0.1;
 
 /// Detects retries of callers by the time that they have left.
 ///
@@ -31,75 +31,75 @@
 /// Where callers' times differ from the start no retry is detected.
 #[derive(Debug)]
 pub struct RetryDetector {
-    times: BTreeMap<u32, f64>,
-    weight: f64,
-    halved: Instant,
+    weights: BTreeMap<u32, f64>,
+    total_weight: f64,
+    decayed_at: Instant,
 }
 
 impl RetryDetector {
     /// Makes a detector that has seen nothing.
     pub fn new(now: Instant) -> Self {
         Self {
-            times: BTreeMap::new(),
-            weight: 0.0,
-            halved: now,
+            weights: BTreeMap::new(),
+            total_weight: 0.0,
+            decayed_at: now,
         }
     }
 
     /// Takes note of a request whose caller has so much time left, and returns
     /// how long the caller has waited if it is a retry.
-    pub fn observe(&mut self, now: Instant, left: Duration) -> Option<Duration> {
-        self.age(now);
-        let step = step(left);
-        *self.times.entry(step).or_default() += 1.0;
-        self.weight += 1.0;
-        let initial = self.initial()?;
-        let is_less = step + GAP <= initial;
-        let is_other = self.share(step) >= OTHER_SHARE;
-        (is_less && !is_other).then(|| time(initial).saturating_sub(left))
+    pub fn observe(&mut self, now: Instant, time_left: Duration) -> Option<Duration> {
+        self.decay(now);
+        let step = step(time_left);
+        *self.weights.entry(step).or_default() += 1.0;
+        self.total_weight += 1.0;
+        let initial_step = self.initial_step()?;
+        let is_less = step + MIN_STEP_GAP <= initial_step;
+        let is_other = self.share(step) >= OTHER_KIND_SHARE;
+        (is_less && !is_other).then(|| step_time(initial_step).saturating_sub(time_left))
     }
 
     /// Returns the time that first attempts have, if one stands out.
-    fn initial(&self) -> Option<u32> {
+    fn initial_step(&self) -> Option<u32> {
         let (step, _) = self
-            .times
+            .weights
             .iter()
             .max_by(|(_, one), (_, other)| one.total_cmp(other))?;
-        let stands_out = self.weight >= ENOUGH && self.share(*step) >= FIRST_SHARE;
+        let stands_out = self.total_weight >= MIN_REQUESTS && self.share(*step) >= MIN_FIRST_SHARE;
         stands_out.then_some(*step)
     }
 
     fn share(&self, step: u32) -> f64 {
-        let count = self.times.get(&step).copied().unwrap_or_default();
-        count / self.weight.max(1.0)
+        let count = self.weights.get(&step).copied().unwrap_or_default();
+        count / self.total_weight.max(1.0)
     }
 
-    fn age(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.halved);
-        if age >= HALF_LIFE * MEMORY {
+    fn decay(&mut self, now: Instant) {
+        let age = now.saturating_duration_since(self.decayed_at);
+        if age >= HALF_LIFE * MAX_HALF_LIVES {
             *self = Self::new(now);
             return;
         }
         if age < HALF_LIFE {
             return;
         }
-        while now.saturating_duration_since(self.halved) >= HALF_LIFE {
-            self.halved += HALF_LIFE;
-            self.times.retain(|_, count| {
+        while now.saturating_duration_since(self.decayed_at) >= HALF_LIFE {
+            self.decayed_at += HALF_LIFE;
+            self.weights.retain(|_, count| {
                 *count /= 2.0;
-                *count >= LEAST_WEIGHT
+                *count >= MIN_WEIGHT
             });
         }
-        self.weight = self.times.values().sum();
+        self.total_weight = self.weights.values().sum();
     }
 }
 
 fn step(time: Duration) -> u32 {
     let ms = (time.as_secs_f64() * 1000.0).max(1.0);
-    (ms.ln() / STEP) as u32
+    (ms.ln() / LOG_STEP) as u32
 }
 
-fn time(step: u32) -> Duration {
-    let ms = ((f64::from(step) + 0.5) * STEP).exp();
+fn step_time(step: u32) -> Duration {
+    let ms = ((f64::from(step) + 0.5) * LOG_STEP).exp();
     Duration::from_secs_f64(ms / 1000.0)
 }
--- a/src/policy/front/reach.rs
+++ b/src/policy/front/unreachable.rs
@@ -12,7 +12,7 @@
 /// It is told up the chain like that of a service with too much work, and ages
 /// like it, so the front refuses trees that would fail and lets some through
 /// again a few times a second, the most important first.
-pub const CUT_OFF: Demand = Demand {
+pub const UNREACHABLE_DEMAND: Demand = Demand {
     level: Level::HIGHEST,
     below: Level::OPEN,
     classes: RankSet::from_bits(0),
@@ -20,11 +20,11 @@
 
 /// Tells whether a call that could not reach a server had none left to try:
 /// each that serves was asked for it or is left out for its failures.
-pub fn is_cut_off(now: Instant, table: &Table, asked: &[SocketAddr]) -> bool {
+pub fn is_unreachable(now: Instant, table: &Table, tried: &[SocketAddr]) -> bool {
     let mut serving = table
         .targets()
         .filter(|target| target.state == TargetState::Serving);
     serving.all(|target| {
-        asked.contains(&target.instance.address) || !table.admits(now, target.instance)
+        tried.contains(&target.instance.address) || !table.admits(now, target.instance)
     })
 }
--- a/src/policy/route/took.rs
+++ b/src/policy/route/call_time.rs
@@ -4,9 +4,9 @@
 
 /// How long a call took at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Took {
+pub enum CallTime {
     /// Until it was answered.
     Answered(Duration),
     /// Until it ended without an answer.
-    GivenUp(Duration),
+    Unanswered(Duration),
 }
--- a/src/policy/route/usual.rs
+++ b/src/policy/route/kind_means.rs
@@ -5,25 +5,25 @@
 
 use tokio::time::Instant;
 
-use super::Kind;
-use super::weight::Weighing;
+use super::CallKind;
+use super::smoothing::Smoothing;
 
 /// Most kinds that are told apart; calls of further ones teach nothing.
 const MAX_KINDS: usize = 32;
 /// How a mean is learned: it follows load that comes and goes in seconds.
-const MEAN: Weighing = Weighing {
-    half: Duration::from_secs(2),
-    most: 0.125,
-    prior: 1.0,
+const MEAN_SMOOTHING: Smoothing = Smoothing {
+    half_life: Duration::from_secs(2),
+    max_weight: 0.125,
+    prior_count: 1.0,
 };
 /// Shortest time that is told apart.
-const LEAST: Duration = Duration::from_micros(100);
+const MIN_TIME: Duration = Duration::from_micros(100);
 
 #[derive(Clone, Copy, Debug)]
 struct Mean {
     log: f64,
     answers: u32,
-    at: Instant,
+    updated_at: Instant,
 }
 
 /// What calls of each kind take in the mean of a service's servers.
@@ -31,30 +31,36 @@
 /// Each answer is first freed of what its server's own speed makes of it;
 /// otherwise the mean would follow the fast servers, which get most calls.
 #[derive(Debug, Default)]
-pub(super) struct Usual {
-    kinds: HashMap<Kind, Mean>,
+pub(super) struct KindMeans {
+    kinds: HashMap<CallKind, Mean>,
 }
 
-impl Usual {
+impl KindMeans {
     /// Returns the logarithm by which a time exceeds the mean of its kind, if
     /// that is known.
-    pub(super) fn excess(&self, kind: Kind, time: Duration) -> Option<f64> {
+    pub(super) fn log_excess(&self, kind: CallKind, time: Duration) -> Option<f64> {
         self.kinds.get(&kind).map(|mean| log(time) - mean.log)
     }
 
     /// Takes note of an answer of a server whose own speed is `own`.
-    pub(super) fn answered(&mut self, now: Instant, kind: Kind, time: Duration, own: f64) {
-        let found = log(time) - own;
+    pub(super) fn record_answer(
+        &mut self,
+        now: Instant,
+        kind: CallKind,
+        time: Duration,
+        steady_log: f64,
+    ) {
+        let adjusted_log = log(time) - steady_log;
         if let Some(mean) = self.kinds.get_mut(&kind) {
-            let since = now.saturating_duration_since(mean.at);
-            mean.log += (found - mean.log) * MEAN.weight(mean.answers, since);
+            let elapsed = now.saturating_duration_since(mean.updated_at);
+            mean.log += (adjusted_log - mean.log) * MEAN_SMOOTHING.weight(mean.answers, elapsed);
             mean.answers = mean.answers.saturating_add(1);
-            mean.at = now;
+            mean.updated_at = now;
         } else if self.kinds.len() < MAX_KINDS {
             let mean = Mean {
-                log: found,
+                log: adjusted_log,
                 answers: 1,
-                at: now,
+                updated_at: now,
             };
             self.kinds.insert(kind, mean);
         }
@@ -62,5 +68,5 @@
 }
 
 fn log(time: Duration) -> f64 {
-    time.max(LEAST).as_secs_f64().ln()
+    time.max(MIN_TIME).as_secs_f64().ln()
 }
--- a/src/policy/route/timed.rs
+++ b/src/policy/route/latency.rs
@@ -9,25 +9,25 @@
 use tokio::time::Instant;
 
 use super::Target;
-use super::pick::{Choice, draw, spill as spill_by_load};
+use super::pick::{PickInput, draw, spill as spill_by_load};
 
 /// Targets that are compared where they have little to do: with a third of
 /// them fast, a fast one is among them seven times in eight.
-const DRAWS: usize = 5;
+const MAX_COMPARED: usize = 5;
 /// Load above which two are compared, since what was heard of load is older
 /// than the load.
-const BUSY: f64 = 0.25;
+const BUSY_LOAD: f64 = 0.25;
 /// Load of a server that has no slot free.
-const NO_ROOM: f64 = 1.0;
+const SATURATED_LOAD: f64 = 1.0;
 
 /// How many times as long an answer of the own data centre must be expected to
 /// take for a call to go to another one, since bytes between them are dear.
-const CLEARLY: f64 = 1.5;
+const SPILL_LATENCY_RATIO: f64 = 1.5;
 
 /// Tells whether an answer of a target is expected to take long enough that
 /// other data centres are looked at.
 pub(super) fn is_slow(now: Instant, near: &Target) -> bool {
-    near.expected(now) >= CLEARLY
+    near.expected_latency(now) >= SPILL_LATENCY_RATIO
 }
 
 /// Prefers the far target if the near one is full while the far one has room,
@@ -36,8 +36,8 @@
     if near.is_full(now) {
         return spill_by_load(now, near, far);
     }
-    let is_sooner = near.expected(now) >= far.expected(now) * CLEARLY;
-    if is_sooner && !far.is_full(now) {
+    let is_faster = near.expected_latency(now) >= far.expected_latency(now) * SPILL_LATENCY_RATIO;
+    if is_faster && !far.is_full(now) {
         far
     } else {
         near
@@ -48,42 +48,42 @@
 /// little to do; where those have no slot free, any that has.
 pub(super) fn best<'a, R: Rng>(
     now: Instant,
-    choice: Choice<'_>,
+    input: PickInput<'_>,
     targets: &'a [Target],
     rng: &mut R,
 ) -> Option<&'a Target> {
-    let mut best = draw(now, choice, targets, rng)?;
-    for drawn in 1..DRAWS {
-        if drawn > 1 && best.load(now) >= BUSY {
+    let mut best = draw(now, input, targets, rng)?;
+    for drawn in 1..MAX_COMPARED {
+        if drawn > 1 && best.load(now) >= BUSY_LOAD {
             break;
         }
-        best = better(now, best, draw(now, choice, targets, rng)?);
+        best = better_of(now, best, draw(now, input, targets, rng)?);
     }
-    if best.load(now) < NO_ROOM {
+    if best.load(now) < SATURATED_LOAD {
         return Some(best);
     }
-    Some(with_room(now, choice, targets, rng).unwrap_or(best))
+    Some(with_free_slot(now, input, targets, rng).unwrap_or(best))
 }
 
 /// Returns the target that answers sooner; a full one only where both are, and
 /// then the one with less load.
-fn better<'a>(now: Instant, one: &'a Target, other: &'a Target) -> &'a Target {
+fn better_of<'a>(now: Instant, one: &'a Target, other: &'a Target) -> &'a Target {
     let is_other = match (one.is_full(now), other.is_full(now)) {
         (true, true) => other.load(now) < one.load(now),
-        (false, false) => other.expected(now) < one.expected(now),
+        (false, false) => other.expected_latency(now) < one.expected_latency(now),
         (one_full, _) => one_full,
     };
     if is_other { other } else { one }
 }
 
 /// Returns the first target with a slot free from a random place on.
-fn with_room<'a, R: Rng>(
+fn with_free_slot<'a, R: Rng>(
     now: Instant,
-    choice: Choice<'_>,
+    input: PickInput<'_>,
     targets: &'a [Target],
     rng: &mut R,
 ) -> Option<&'a Target> {
     let (before, after) = targets.split_at(rng.random_range(0..targets.len()));
     let mut around = after.iter().chain(before);
-    around.find(|target| target.load(now) < NO_ROOM && choice.is_sound(now, target))
+    around.find(|target| target.load(now) < SATURATED_LOAD && input.is_usable(now, target))
 }
--- a/src/policy/route/pace.rs
+++ b/src/policy/route/latency_ratio.rs
@@ -4,33 +4,33 @@
 
 use tokio::time::Instant;
 
-use super::weight::{Weighing, faded};
+use super::smoothing::{Smoothing, decayed};
 
 /// Half-life of what was learned of a server's own speed: one that was slow is
 /// tried again some seconds later.
-const OWN_AGE: Duration = Duration::from_secs(10);
+const STEADY_HALF_LIFE: Duration = Duration::from_secs(10);
 /// How the own speed is learned: some ten answers, and no fewer than some
 /// seconds of them, so that a slow spell does not pass for it.
-const OWN: Weighing = Weighing {
-    half: Duration::from_secs(3),
-    most: 0.25,
-    prior: 2.0,
+const STEADY_SMOOTHING: Smoothing = Smoothing {
+    half_life: Duration::from_secs(3),
+    max_weight: 0.25,
+    prior_count: 2.0,
 };
 /// Half-life of a slow spell. Those that callers meet last for half a second.
-const SPELL_AGE: Duration = Duration::from_millis(300);
+const SLOWDOWN_HALF_LIFE: Duration = Duration::from_millis(300);
 /// How a spell is learned: from two or three answers, or some 50 ms of many.
-const SPELL: Weighing = Weighing {
-    half: Duration::from_millis(50),
-    most: 0.6,
-    prior: f64::INFINITY,
+const SLOWDOWN_SMOOTHING: Smoothing = Smoothing {
+    half_life: Duration::from_millis(50),
+    max_weight: 0.6,
+    prior_count: f64::INFINITY,
 };
 /// Smallest part that an answer of a spell counts for, however many come.
-const SPELL_LEAST: f64 = 0.1;
+const MIN_SLOWDOWN_WEIGHT: f64 = 0.1;
 /// Logarithm by which a server that has not answered is hoped to be faster
 /// than the mean: it gets calls beside fast ones until it has answered some.
-const HOPE: f64 = 0.25;
+const NEW_SERVER_LOG_BONUS: f64 = 0.25;
 /// Greatest logarithm of a ratio that is believed, eight times.
-const BOUND: f64 = 2.079;
+const MAX_LOG_RATIO: f64 = 2.079;
 
 /// How fast one backend server answers, as the ratio of its time to what calls
 /// of the same kind take at the service's servers in the mean.
@@ -39,34 +39,39 @@
 /// as fast weigh alike: the server's own speed, and the slow spell that it may
 /// be in. What is old fades to the mean.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
-    own: f64,
-    spell: f64,
+pub struct LatencyRatio {
+    steady_log: f64,
+    slowdown_log: f64,
     answers: u32,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
-impl Pace {
+impl LatencyRatio {
     /// Takes note of an answer whose time exceeded the mean of its kind by a
     /// logarithm of `excess`.
-    pub fn answered(&mut self, now: Instant, excess: f64) {
-        let excess = excess.clamp(-BOUND, BOUND);
-        let since = self.age(now);
-        self.own = self.own(now);
-        self.spell = self.spell(now);
-        self.own += (excess - self.own) * OWN.weight(self.answers, since);
-        let part = SPELL.weight(self.answers, since).max(SPELL_LEAST);
+    pub fn record_answer(&mut self, now: Instant, log_excess: f64) {
+        let log_excess = log_excess.clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
+        let elapsed = self.age(now);
+        self.steady_log = self.steady_log(now);
+        self.slowdown_log = self.slowdown_log(now);
+        self.steady_log +=
+            (log_excess - self.steady_log) * STEADY_SMOOTHING.weight(self.answers, elapsed);
+        let weight = SLOWDOWN_SMOOTHING
+            .weight(self.answers, elapsed)
+            .max(MIN_SLOWDOWN_WEIGHT);
         // There are no fast spells; what looks like one is chance.
-        self.spell = (self.spell + (excess - self.own - self.spell) * part).max(0.0);
+        self.slowdown_log = (self.slowdown_log
+            + (log_excess - self.steady_log - self.slowdown_log) * weight)
+            .max(0.0);
         self.answers = self.answers.saturating_add(1);
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 
     /// Takes note of a call that was given up after a time that exceeded the
     /// mean of its kind by `excess`: its answer would have taken longer.
-    pub fn given_up(&mut self, now: Instant, excess: f64) {
-        if excess > self.own(now) + self.spell(now) {
-            self.answered(now, excess);
+    pub fn record_unanswered(&mut self, now: Instant, log_excess: f64) {
+        if log_excess > self.steady_log(now) + self.slowdown_log(now) {
+            self.record_answer(now, log_excess);
         }
     }
 
@@ -76,27 +81,27 @@
     }
 
     /// Returns the logarithm of its ratio that its own speed makes, without a spell's part.
-    pub fn own(&self, now: Instant) -> f64 {
-        faded(self.own, self.age(now), OWN_AGE)
+    pub fn steady_log(&self, now: Instant) -> f64 {
+        decayed(self.steady_log, self.age(now), STEADY_HALF_LIFE)
     }
 
     /// Returns the time of an answer now as a multiple of the service's mean.
     pub fn ratio(&self, now: Instant) -> f64 {
-        (self.own(now) + self.spell(now)).exp()
+        (self.steady_log(now) + self.slowdown_log(now)).exp()
     }
 
     /// Returns the ratio with what is hoped of a server that has answered few
     /// calls.
-    pub fn hoped(&self, now: Instant) -> f64 {
-        self.ratio(now) * (-HOPE / f64::from(self.answers.saturating_add(1))).exp()
+    pub fn optimistic_ratio(&self, now: Instant) -> f64 {
+        self.ratio(now) * (-NEW_SERVER_LOG_BONUS / f64::from(self.answers.saturating_add(1))).exp()
     }
 
-    fn spell(&self, now: Instant) -> f64 {
-        faded(self.spell, self.age(now), SPELL_AGE)
+    fn slowdown_log(&self, now: Instant) -> f64 {
+        decayed(self.slowdown_log, self.age(now), SLOWDOWN_HALF_LIFE)
     }
 
     fn age(&self, now: Instant) -> Duration {
-        self.at
+        self.updated_at
             .map_or(Duration::MAX, |at| now.saturating_duration_since(at))
     }
 }
--- a/src/policy/route/mod.rs
+++ b/src/policy/route/mod.rs
@@ -1,26 +1,26 @@
 //! Which backend server takes a call.
 
 mod balance;
+mod call_kind;
+mod call_time;
 mod eject;
-mod kind;
-mod pace;
+mod kind_means;
+mod latency;
+mod latency_ratio;
 mod pick;
+mod smoothing;
 mod split;
 mod subset;
 mod table;
 mod target;
-mod timed;
-mod took;
-mod usual;
-mod weight;
 
 pub use balance::Balance;
+pub use call_kind::CallKind;
+pub use call_time::CallTime;
 pub use eject::Ejector;
-pub use kind::Kind;
-pub use pace::Pace;
-pub use pick::{Pick, Want};
+pub use latency_ratio::LatencyRatio;
+pub use pick::{CallNeeds, Pick};
 pub use split::Split;
 pub use subset::{subset, subset_size};
-pub use table::{Report, Table};
+pub use table::{AttemptReport, Table};
 pub use target::{Target, TargetState};
-pub use took::Took;
--- a/src/policy/route/pick.rs
+++ b/src/policy/route/pick.rs
@@ -3,15 +3,15 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{Ejector, Target, TargetState, timed};
+use super::{Ejector, Target, TargetState, latency};
 use crate::model::{Demand, Instance, Level, RankSet};
 
 /// Load of the own data centre above which others are considered.
 const SPILL_LOAD: f64 = 0.9;
 /// Targets whose levels are looked at.
-const SAMPLE: usize = 8;
+const DEMAND_SAMPLE_SIZE: usize = 8;
 /// Random draws before all targets are looked through.
-const DRAWS: usize = 4;
+const MAX_RANDOM_DRAWS: usize = 4;
 
 /// What came of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,49 +24,49 @@
     /// Every target is known to refuse work of this level.
     Refused(Level),
     /// There is no target that can be reached.
-    Nothing,
+    NoTarget,
 }
 
 /// What a choice is made from.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Choice<'a> {
+pub(super) struct PickInput<'a> {
     /// The targets in the entry's own data centre.
     pub(super) near: &'a [Target],
     /// The targets in other data centres.
     pub(super) far: &'a [Target],
     /// Targets that are not to be chosen again.
-    pub(super) tried: &'a [Instance],
+    pub(super) exclude: &'a [Instance],
     /// The smallest share of calls that any target fails by itself.
-    pub(super) least: f64,
+    pub(super) min_fault_share: f64,
     /// Which targets are out.
     pub(super) ejector: &'a Ejector,
     /// The call that a target is wanted for.
-    pub(super) want: Want,
+    pub(super) needs: CallNeeds,
     /// Whether targets are compared by time.
     pub(super) by_time: bool,
 }
 
-impl Choice<'_> {
-    fn is_open(&self, target: &Target) -> bool {
-        target.state == TargetState::Serving && !self.tried.contains(&target.instance)
+impl PickInput<'_> {
+    fn is_candidate(&self, target: &Target) -> bool {
+        target.state == TargetState::Serving && !self.exclude.contains(&target.instance)
     }
 
     /// Tells whether a target is in order, whether or not it has room.
-    fn is_in_order(&self, now: Instant, target: &Target) -> bool {
-        self.is_open(target)
-            && self.want.avoid != Some(target.instance)
+    fn is_healthy(&self, now: Instant, target: &Target) -> bool {
+        self.is_candidate(target)
+            && self.needs.avoid != Some(target.instance)
             && self.ejector.admits(now, target.instance)
-            && !target.is_faulty(now, self.least)
+            && !target.is_faulty(now, self.min_fault_share)
     }
 
-    pub(super) fn is_sound(&self, now: Instant, target: &Target) -> bool {
-        self.is_in_order(now, target) && target.has_room(now)
+    pub(super) fn is_usable(&self, now: Instant, target: &Target) -> bool {
+        self.is_healthy(now, target) && target.has_rate_capacity(now)
     }
 }
 
 /// The call that a target is wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct CallNeeds {
     /// Its admission level.
     pub level: Level,
     /// Whether its class is protected.
@@ -84,29 +84,29 @@
 /// counting the others as open lets in several times what can be served.
 pub(super) fn demand(now: Instant, targets: &[Target], protected: bool) -> Demand {
     let serving = || targets.iter().filter(|t| t.state == TargetState::Serving);
-    let fresh = serving().filter(|target| target.is_level_fresh(now));
-    mean(now, fresh, protected).unwrap_or_else(|| {
-        let step = targets.len().div_ceil(SAMPLE).max(1);
-        mean(now, serving().step_by(step), protected).unwrap_or_default()
+    let fresh = serving().filter(|target| target.has_fresh_level(now));
+    mean_demand(now, fresh, protected).unwrap_or_else(|| {
+        let step = targets.len().div_ceil(DEMAND_SAMPLE_SIZE).max(1);
+        mean_demand(now, serving().step_by(step), protected).unwrap_or_default()
     })
 }
 
 /// Chooses the target that has room first of those whose servers have named a
 /// rate and have none now, if there are any.
-fn first_room(now: Instant, choice: Choice<'_>) -> Option<Pick> {
-    let all = || choice.near.iter().chain(choice.far);
-    let full = || all().filter(|t| choice.is_in_order(now, t) && !t.has_room(now));
-    let first = full().min_by_key(|target| target.wait(now))?;
-    let demand = mean(now, full(), choice.want.protected)?;
-    let level = demand.of(choice.want.level.rank());
-    if choice.want.level < level {
+fn soonest_available(now: Instant, input: PickInput<'_>) -> Option<Pick> {
+    let all = || input.near.iter().chain(input.far);
+    let limited = || all().filter(|t| input.is_healthy(now, t) && !t.has_rate_capacity(now));
+    let first = limited().min_by_key(|target| target.rate_delay(now))?;
+    let demand = mean_demand(now, limited(), input.needs.protected)?;
+    let level = demand.of(input.needs.level.rank());
+    if input.needs.level < level {
         return Some(Pick::Refused(level));
     }
     Some(Pick::Wait(first.instance))
 }
 
 /// Returns the mean of what some targets demand, if there are any.
-fn mean<'t>(
+fn mean_demand<'t>(
     now: Instant,
     targets: impl Iterator<Item = &'t Target>,
     protected: bool,
@@ -115,7 +115,7 @@
     let mut below = 0;
     let mut classes = RankSet::default();
     let mut count = 0;
-    for target in targets.take(SAMPLE) {
+    for target in targets.take(DEMAND_SAMPLE_SIZE) {
         let demand = target.demand(now, protected);
         level += u32::from(demand.level.get());
         below += u32::from(demand.below.get());
@@ -131,33 +131,33 @@
 
 /// Chooses a target for a call: the better of two random ones of the own data
 /// centre; of others if the own one has too much work or none.
-pub(super) fn pick<R: Rng>(now: Instant, choice: Choice<'_>, rng: &mut R) -> Pick {
-    let want = choice.want;
-    let near = best(now, choice, choice.near, rng);
-    let demanded = |targets| demand(now, targets, want.protected).of(want.level.rank());
-    let near_demands = near.map(|_| demanded(choice.near));
-    let near_takes = near_demands.is_some_and(|level| want.level >= level);
+pub(super) fn pick<R: Rng>(now: Instant, input: PickInput<'_>, rng: &mut R) -> Pick {
+    let needs = input.needs;
+    let near = best(now, input, input.near, rng);
+    let demanded = |targets| demand(now, targets, needs.protected).of(needs.level.rank());
+    let near_level = near.map(|_| demanded(input.near));
+    let near_admits = near_level.is_some_and(|level| needs.level >= level);
     if let Some(target) = near
-        && near_takes
+        && near_admits
         && target.load(now) < SPILL_LOAD
-        && !(choice.by_time && timed::is_slow(now, target))
+        && !(input.by_time && latency::is_slow(now, target))
     {
         return Pick::Target(target.instance);
     }
-    let far = best(now, choice, choice.far, rng);
-    let far_demands = far.map(|_| demanded(choice.far));
-    let far_takes = far_demands.is_some_and(|level| want.level >= level);
-    let near = near.filter(|_| near_takes);
-    let far = far.filter(|_| far_takes);
+    let far = best(now, input, input.far, rng);
+    let far_level = far.map(|_| demanded(input.far));
+    let far_admits = far_level.is_some_and(|level| needs.level >= level);
+    let near = near.filter(|_| near_admits);
+    let far = far.filter(|_| far_admits);
     match (near, far) {
-        (Some(near), Some(far)) if choice.by_time => {
-            Pick::Target(timed::spill(now, near, far).instance)
+        (Some(near), Some(far)) if input.by_time => {
+            Pick::Target(latency::spill(now, near, far).instance)
         }
         (Some(near), Some(far)) => Pick::Target(spill(now, near, far).instance),
         (Some(target), None) | (None, Some(target)) => Pick::Target(target.instance),
-        (None, None) => match near_demands.into_iter().chain(far_demands).min() {
+        (None, None) => match near_level.into_iter().chain(far_level).min() {
             Some(level) => Pick::Refused(level),
-            None => first_room(now, choice).unwrap_or_else(|| last_resort(choice, rng)),
+            None => soonest_available(now, input).unwrap_or_else(|| last_resort(input, rng)),
         },
     }
 }
@@ -176,25 +176,25 @@
 /// Returns the best of some random targets.
 fn best<'a, R: Rng>(
     now: Instant,
-    choice: Choice<'_>,
+    input: PickInput<'_>,
     targets: &'a [Target],
     rng: &mut R,
 ) -> Option<&'a Target> {
-    if choice.by_time {
-        timed::best(now, choice, targets, rng)
+    if input.by_time {
+        latency::best(now, input, targets, rng)
     } else {
-        best_of_two(now, choice, targets, rng)
+        best_of_two(now, input, targets, rng)
     }
 }
 
 fn best_of_two<'a, R: Rng>(
     now: Instant,
-    choice: Choice<'_>,
+    input: PickInput<'_>,
     targets: &'a [Target],
     rng: &mut R,
 ) -> Option<&'a Target> {
-    let first = draw(now, choice, targets, rng)?;
-    let second = draw(now, choice, targets, rng)?;
+    let first = draw(now, input, targets, rng)?;
+    let second = draw(now, input, targets, rng)?;
     Some(if second.load(now) < first.load(now) {
         second
     } else {
@@ -205,7 +205,7 @@
 /// Draws a usable target at random.
 pub(super) fn draw<'a, R: Rng>(
     now: Instant,
-    choice: Choice<'_>,
+    input: PickInput<'_>,
     targets: &'a [Target],
     rng: &mut R,
 ) -> Option<&'a Target> {
@@ -213,26 +213,26 @@
         return None;
     }
     let mut start = 0;
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_RANDOM_DRAWS {
         start = rng.random_range(0..targets.len());
-        if choice.is_sound(now, &targets[start]) {
+        if input.is_usable(now, &targets[start]) {
             return Some(&targets[start]);
         }
     }
     let (before, after) = targets.split_at(start);
     let mut around = after.iter().chain(before);
-    around.find(|target| choice.is_sound(now, target))
+    around.find(|target| input.is_usable(now, target))
 }
 
 /// Chooses any target that serves, where none is in order.
-fn last_resort<R: Rng>(choice: Choice<'_>, rng: &mut R) -> Pick {
-    let all = || choice.near.iter().chain(choice.far);
-    let open = || all().filter(|target| choice.is_open(target));
+fn last_resort<R: Rng>(input: PickInput<'_>, rng: &mut R) -> Pick {
+    let all = || input.near.iter().chain(input.far);
+    let open = || all().filter(|target| input.is_candidate(target));
     match open().count() {
-        0 => Pick::Nothing,
+        0 => Pick::NoTarget,
         count => match open().nth(rng.random_range(0..count)) {
             Some(target) => Pick::Target(target.instance),
-            None => Pick::Nothing,
+            None => Pick::NoTarget,
         },
     }
 }
--- a/src/policy/route/split.rs
+++ b/src/policy/route/split.rs
@@ -18,9 +18,9 @@
         let credits = weights
             .iter()
             .enumerate()
-            .map(|(place, weight)| {
-                let turn = (offset + place as f64 / weights.len() as f64).fract();
-                (turn * sum.min(i64::from(*weight)) as f64) as i64
+            .map(|(index, weight)| {
+                let phase = (offset + index as f64 / weights.len() as f64).fract();
+                (phase * sum.min(i64::from(*weight)) as f64) as i64
             })
             .collect();
         Self { credits }
@@ -38,8 +38,8 @@
             .iter()
             .enumerate()
             .filter(|(_, weight)| **weight > 0)
-            .max_by_key(|(place, _)| self.credits[*place])
-            .map(|(place, _)| place)?;
+            .max_by_key(|(index, _)| self.credits[*index])
+            .map(|(index, _)| index)?;
         self.credits[best] -= sum;
         Some(best)
     }
--- a/src/policy/route/subset.rs
+++ b/src/policy/route/subset.rs
@@ -3,12 +3,12 @@
 use crate::model::{Connections, Instance};
 
 /// Fewest backend servers of a data centre in a subset, for redundancy.
-const MIN_SIZE: usize = 4;
+const MIN_SUBSET_SIZE: usize = 4;
 /// Most backend servers of a data centre in a subset.
-const MAX_SIZE: usize = 20;
+const MAX_SUBSET_SIZE: usize = 20;
 /// Share of a server's connections that daemons may use; the rest is for
 /// reconnections and uneven hashing.
-const SHARE: f64 = 0.5;
+const CONNECTION_SHARE: f64 = 0.5;
 
 /// Computes how many of `servers` one of `entries` may connect to.
 ///
@@ -18,19 +18,21 @@
     if entries == 0 || servers == 0 {
         return servers;
     }
-    let budget = f64::from(limit.get()) * SHARE;
+    let budget = f64::from(limit.get()) * CONNECTION_SHARE;
     let allowed = (budget * servers as f64 / entries as f64) as usize;
-    allowed.clamp(1, MAX_SIZE.max(MIN_SIZE)).min(servers)
+    allowed
+        .clamp(1, MAX_SUBSET_SIZE.max(MIN_SUBSET_SIZE))
+        .min(servers)
 }
 
 /// Chooses `size` of `servers` for the entry `own` by rendezvous hashing.
 ///
 /// The choice is the same each time, and a server that comes or goes changes
 /// at most one place of a subset.
-pub fn subset(own: u64, servers: &[Instance], size: usize) -> Vec<Instance> {
+pub fn subset(entry: u64, servers: &[Instance], size: usize) -> Vec<Instance> {
     let mut ranked: Vec<(u64, Instance)> = servers
         .iter()
-        .map(|server| (server.hash(own), *server))
+        .map(|server| (server.hash(entry), *server))
         .collect();
     ranked.sort_unstable();
     ranked.truncate(size);
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -6,24 +6,24 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::pick::{Choice, Want, demand, pick};
-use super::usual::Usual;
-use super::{Ejector, Kind, Pick, Target, TargetState, Took};
+use super::kind_means::KindMeans;
+use super::pick::{CallNeeds, PickInput, demand, pick};
+use super::{CallKind, CallTime, Ejector, Pick, Target, TargetState};
 use crate::model::{CentreName, ClassRank, Demand, GuardNews, Instance};
 use crate::policy::admission::Shares;
 use crate::policy::retry::RetryBudget;
 
 /// What a call met at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Report {
+pub enum AttemptReport {
     /// The guard answered or refused, and told of itself.
-    Heard(GuardNews),
+    Responded(GuardNews),
     /// The guard told of itself, and that its backend server refused the call.
     Rejected(GuardNews),
     /// The connection failed, went silent or gave garbage.
     Failed,
     /// The daemon cannot be reached at all.
-    Silent,
+    Unreachable,
     /// The caller went away first, which says nothing of the target.
     Abandoned,
 }
@@ -31,44 +31,44 @@
 /// The targets of one service with all that is remembered of them.
 #[derive(Debug)]
 pub struct Table {
-    own: CentreName,
+    own_centre: CentreName,
     near: Vec<Target>,
     far: Vec<Target>,
-    places: HashMap<Instance, Place>,
+    positions: HashMap<Instance, Position>,
     ejector: Ejector,
-    retries: RetryBudget,
+    retry_budget: RetryBudget,
     /// Which of the callers' own calls make others.
-    onward: Shares,
+    onward_shares: Shares,
     /// What calls take, where targets are compared by time.
-    usual: Option<Usual>,
+    kind_means: Option<KindMeans>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum Position {
     Near(usize),
     Far(usize),
 }
 
 impl Table {
     /// Makes an empty table for an entry in the data centre `own`.
-    pub fn new(own: CentreName) -> Self {
+    pub fn new(own_centre: CentreName) -> Self {
         Self {
-            own,
+            own_centre,
             near: Vec::new(),
             far: Vec::new(),
-            places: HashMap::new(),
+            positions: HashMap::new(),
             ejector: Ejector::default(),
-            retries: RetryBudget::default(),
-            onward: Shares::default(),
-            usual: None,
+            retry_budget: RetryBudget::default(),
+            onward_shares: Shares::default(),
+            kind_means: None,
         }
     }
 
     /// Makes an empty table whose retries are bounded in another way.
-    pub fn with_retries(own: CentreName, retries: RetryBudget) -> Self {
+    pub fn with_retry_budget(own_centre: CentreName, retry_budget: RetryBudget) -> Self {
         Self {
-            retries,
-            ..Self::new(own)
+            retry_budget,
+            ..Self::new(own_centre)
         }
     }
 
@@ -81,90 +81,95 @@
             .chain(self.far.drain(..))
             .map(|target| (target.instance, target))
             .collect();
-        self.places.clear();
+        self.positions.clear();
         for news in targets {
             let target = match old.remove(&news.instance) {
                 Some(mut known) => {
-                    known.renew(news);
+                    known.update_from(news);
                     known
                 }
                 None => news,
             };
             self.insert(target);
         }
-        let places = &self.places;
+        let positions = &self.positions;
         self.ejector
-            .retain(|instance| places.contains_key(instance));
+            .retain(|instance| positions.contains_key(instance));
     }
 
     fn insert(&mut self, target: Target) {
         let instance = target.instance;
-        let place = if target.centre == self.own {
+        let position = if target.centre == self.own_centre {
             self.near.push(target);
-            Place::Near(self.near.len() - 1)
+            Position::Near(self.near.len() - 1)
         } else {
             self.far.push(target);
-            Place::Far(self.far.len() - 1)
+            Position::Far(self.far.len() - 1)
         };
-        self.places.insert(instance, place);
+        self.positions.insert(instance, position);
     }
 
     /// Chooses a target for a call and counts the call as sent.
-    pub fn choose<R: Rng>(&mut self, now: Instant, want: Want, rng: &mut R) -> Pick {
-        self.choose_except(now, want, &[], rng)
+    pub fn choose<R: Rng>(&mut self, now: Instant, needs: CallNeeds, rng: &mut R) -> Pick {
+        self.choose_except(now, needs, &[], rng)
     }
 
     /// Chooses a target that is not among those tried before.
     pub fn choose_except<R: Rng>(
         &mut self,
         now: Instant,
-        want: Want,
-        tried: &[Instance],
+        needs: CallNeeds,
+        exclude: &[Instance],
         rng: &mut R,
     ) -> Pick {
-        let found = pick(now, self.choice(now, want, tried), rng);
-        self.count(found)
+        let picked = pick(now, self.pick_input(now, needs, exclude), rng);
+        self.count_sent(picked)
     }
 
-    fn choice<'a>(&'a self, now: Instant, want: Want, tried: &'a [Instance]) -> Choice<'a> {
-        Choice {
-            least: self.least_faults(now),
-            tried,
+    fn pick_input<'a>(
+        &'a self,
+        now: Instant,
+        needs: CallNeeds,
+        exclude: &'a [Instance],
+    ) -> PickInput<'a> {
+        PickInput {
+            min_fault_share: self.min_fault_share(now),
+            exclude,
             near: &self.near,
             far: &self.far,
             ejector: &self.ejector,
-            want,
-            by_time: self.usual.is_some(),
+            needs,
+            by_time: self.kind_means.is_some(),
         }
     }
 
     /// Counts a call as sent to what was found.
-    fn count(&mut self, found: Pick) -> Pick {
-        if let Pick::Target(instance) | Pick::Wait(instance) = found {
-            self.sent(instance);
+    fn count_sent(&mut self, picked: Pick) -> Pick {
+        if let Pick::Target(instance) | Pick::Wait(instance) = picked {
+            self.record_sent(instance);
         }
-        found
+        picked
     }
 
     /// Returns how long calls wait for the rates that servers named, where none
     /// that serves has room.
-    pub fn wait(&self, now: Instant) -> Option<Duration> {
+    pub fn rate_delay(&self, now: Instant) -> Option<Duration> {
         let serving = self.targets().filter(|t| t.state == TargetState::Serving);
-        let least = serving.map(|target| target.wait(now)).min();
-        least.filter(|wait| !wait.is_zero())
+        let min_fault_share = serving.map(|target| target.rate_delay(now)).min();
+        min_fault_share.filter(|wait| !wait.is_zero())
     }
 
     /// Returns the smallest share of calls that any serving target fails by
     /// itself.
-    fn least_faults(&self, now: Instant) -> f64 {
+    fn min_fault_share(&self, now: Instant) -> f64 {
         let serving = self.targets().filter(|t| t.state == TargetState::Serving);
-        serving.map(|t| t.faults(now)).fold(1.0, f64::min)
+        serving.map(|t| t.fault_share(now)).fold(1.0, f64::min)
     }
 
     /// Tells whether a target was heard from just now.
-    pub fn is_fresh(&self, now: Instant, target: Instance) -> bool {
+    pub fn has_recent_status(&self, now: Instant, target: Instance) -> bool {
         let mut all = self.targets();
-        all.any(|t| t.instance == target && t.is_fresh(now))
+        all.any(|t| t.instance == target && t.has_recent_status(now))
     }
 
     /// Chooses again among targets that a call has been refused by, the one
@@ -178,10 +183,10 @@
             .map(|target| target.instance);
         match best {
             Some(instance) => {
-                self.sent(instance);
+                self.record_sent(instance);
                 Pick::Wait(instance)
             }
-            None => Pick::Nothing,
+            None => Pick::NoTarget,
         }
     }
 
@@ -191,80 +196,93 @@
     }
 
     /// Counts a call as sent to a target that was chosen in another way.
-    pub fn sent(&mut self, instance: Instance) {
-        self.ejector.sent(instance);
+    pub fn record_sent(&mut self, instance: Instance) {
+        self.ejector.record_sent(instance);
         if let Some(target) = self.find(instance) {
-            target.sent();
+            target.record_sent();
         }
     }
 
     /// Takes note of what a call met.
-    pub fn report(&mut self, now: Instant, instance: Instance, report: Report) {
-        let known = self.places.len();
+    pub fn report(&mut self, now: Instant, instance: Instance, report: AttemptReport) {
+        let target_count = self.positions.len();
         match report {
-            Report::Heard(_) | Report::Rejected(_) => self.ejector.succeeded(instance),
-            Report::Failed => self.ejector.failed(now, instance, known),
-            Report::Silent => self.ejector.silent(now, instance, known),
-            Report::Abandoned => self.ejector.abandoned(now, instance),
+            AttemptReport::Responded(_) | AttemptReport::Rejected(_) => {
+                self.ejector.record_success(instance)
+            }
+            AttemptReport::Failed => self.ejector.record_failure(now, instance, target_count),
+            AttemptReport::Unreachable => {
+                self.ejector.record_unreachable(now, instance, target_count)
+            }
+            AttemptReport::Abandoned => self.ejector.record_abandoned(now, instance),
         }
         let Some(target) = self.find(instance) else {
             return;
         };
-        target.ended();
+        target.record_end();
         match report {
-            Report::Heard(news) => {
-                target.hear(now, news);
-                target.rejected(false);
+            AttemptReport::Responded(news) => {
+                target.record_status(now, news);
+                target.record_rejection(false);
             }
-            Report::Rejected(news) => {
-                target.hear(now, news);
-                target.rejected(true);
+            AttemptReport::Rejected(news) => {
+                target.record_status(now, news);
+                target.record_rejection(true);
             }
-            Report::Failed | Report::Silent | Report::Abandoned => {}
+            AttemptReport::Failed | AttemptReport::Unreachable | AttemptReport::Abandoned => {}
         }
     }
 
     /// Sets whether targets are compared by time.
     pub fn set_by_time(&mut self, by_time: bool) {
-        match (by_time, &self.usual) {
-            (true, None) => self.usual = Some(Usual::default()),
-            (false, Some(_)) => self.usual = None,
+        match (by_time, &self.kind_means) {
+            (true, None) => self.kind_means = Some(KindMeans::default()),
+            (false, Some(_)) => self.kind_means = None,
             (true, Some(_)) | (false, None) => {}
         }
     }
 
     /// Takes note of the time that a call took at its target; one that ended
     /// without an answer counts only if it was slow.
-    pub fn took(&mut self, now: Instant, instance: Instance, kind: Kind, took: Took) {
-        let Some(mut usual) = self.usual.take() else {
+    pub fn record_time(
+        &mut self,
+        now: Instant,
+        instance: Instance,
+        kind: CallKind,
+        call_time: CallTime,
+    ) {
+        let Some(mut kind_means) = self.kind_means.take() else {
             return;
         };
         if let Some(target) = self.find(instance) {
-            let pace = target.pace_mut();
-            match took {
-                Took::Answered(time) => {
-                    let own = pace.own(now);
-                    usual.answered(now, kind, time, own);
-                    if let Some(excess) = usual.excess(kind, time) {
-                        pace.answered(now, excess);
+            let ratio = target.latency_ratio_mut();
+            match call_time {
+                CallTime::Answered(time) => {
+                    let steady_log = ratio.steady_log(now);
+                    kind_means.record_answer(now, kind, time, steady_log);
+                    if let Some(log_excess) = kind_means.log_excess(kind, time) {
+                        ratio.record_answer(now, log_excess);
                     }
                 }
-                Took::GivenUp(time) => {
-                    if let Some(excess) = usual.excess(kind, time) {
-                        pace.given_up(now, excess);
+                CallTime::Unanswered(time) => {
+                    if let Some(log_excess) = kind_means.log_excess(kind, time) {
+                        ratio.record_unanswered(now, log_excess);
                     }
                 }
             }
         }
-        self.usual = Some(usual);
+        self.kind_means = Some(kind_means);
     }
 
     /// Returns how fast a target answers, where targets are compared by time
     /// and it has answered.
-    pub fn pace(&self, now: Instant, instance: Instance) -> Option<f64> {
-        self.usual.as_ref()?;
+    pub fn latency_ratio(&self, now: Instant, instance: Instance) -> Option<f64> {
+        self.kind_means.as_ref()?;
         let target = self.targets().find(|t| t.instance == instance)?;
-        target.pace().is_known().then(|| target.pace().ratio(now))
+        target
+            .latency_ratio()
+            .is_known()
+            .then(|| target.latency_ratio().ratio(now))
     }
 
     /// Returns what the service demands of calls now, in the own data centre
@@ -279,18 +297,18 @@
     }
 
     /// Takes note of whether a caller's own call of a class made others.
-    pub fn own_call(&mut self, rank: ClassRank, onward: bool) {
-        self.onward.record(rank, onward);
+    pub fn record_own_call(&mut self, rank: ClassRank, onward: bool) {
+        self.onward_shares.record(rank, onward);
     }
 
     /// Tells whether the callers' own calls of a class need no others.
-    pub fn is_single(&self, rank: ClassRank) -> bool {
-        self.onward.is_rare(rank)
+    pub fn is_single_call(&self, rank: ClassRank) -> bool {
+        self.onward_shares.is_rare(rank)
     }
 
     /// Returns what bounds the retries of the service.
-    pub fn retries(&mut self) -> &mut RetryBudget {
-        &mut self.retries
+    pub fn retry_budget(&mut self) -> &mut RetryBudget {
+        &mut self.retry_budget
     }
 
     /// Returns the targets, those of the own data centre first.
@@ -299,9 +317,9 @@
     }
 
     fn find(&mut self, instance: Instance) -> Option<&mut Target> {
-        match *self.places.get(&instance)? {
-            Place::Near(n) => self.near.get_mut(n),
-            Place::Far(n) => self.far.get_mut(n),
+        match *self.positions.get(&instance)? {
+            Position::Near(n) => self.near.get_mut(n),
+            Position::Far(n) => self.far.get_mut(n),
         }
     }
 }
--- a/src/tables/routes.rs
+++ b/src/tables/routes.rs
@@ -43,7 +43,7 @@
                     Some(settings) => RetryBudget::Allowed(Box::new(Allowance::new(settings))),
                     None => RetryBudget::default(),
                 };
-                let table = Table::with_retries(self.own.clone(), retries);
+                let table = Table::with_retry_budget(self.own.clone(), retries);
                 let table = Arc::new(Mutex::new(table));
                 tables.insert(service.clone(), Arc::clone(&table));
                 table
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -18,8 +18,8 @@
 };
 use bramleymount::policy::admission::{Chain, Met};
 use bramleymount::policy::front::{
-    CUT_OFF, Front, Options, Outlook, RefusedCaller, RetryDetector, Trend, backoff, boosted,
-    is_cut_off,
+    AdmittedShare, FrontMode, FrontOptions, RefusedCaller, RetryDetector, Trend,
+    UNREACHABLE_DEMAND, backoff, boosted_root, is_unreachable,
 };
 use bramleymount::policy::route::{Table, Target};
 use rand::SeedableRng;
@@ -29,9 +29,9 @@
 use world::World;
 
 const RANK: usize = 2;
-const LEVELS: Options = Front::Levels.options();
-const BACKOFF: Options = Front::Backoff.options();
-const BOOST: Options = Front::Boost.options();
+const LEVELS: FrontOptions = FrontMode::Levels.options();
+const BACKOFF: FrontOptions = FrontMode::Backoff.options();
+const BOOST: FrontOptions = FrontMode::Boost.options();
 
 fn surge(_: u64) -> f64 {
     2.0
@@ -47,7 +47,7 @@
 /// who: those who have waited at least twice as often as new ones, of whom some
 /// are still served.
 #[tokio::test(start_paused = true)]
-async fn boosted_serves_those_who_returned() {
+async fn boosted_root_serves_returning_callers() {
     let [urgent_before, before] = World::new(LEVELS, surge).run();
     let [urgent, lesser] = World::new(BOOST, surge).run();
     assert!(
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn boosted_after_a_restart_in_the_surge() {
+async fn boosted_root_after_a_restart_in_the_surge() {
     let [_, before] = World::new(LEVELS, surge).run();
     let [_, lesser] = World::new(BOOST, surge).restarted(10_000).run();
     assert!(
@@ -101,7 +101,7 @@
 #[case::backoff(BACKOFF)]
 #[case::boost(BOOST)]
 #[tokio::test(start_paused = true)]
-async fn options_serve_as_many_in_a_wave(#[case] options: Options) {
+async fn options_serve_as_many_in_a_wave(#[case] options: FrontOptions) {
     let [urgent_before, before] = World::new(LEVELS, wave).run();
     let [urgent, lesser] = World::new(options, wave).run();
     assert!(
@@ -115,10 +115,10 @@
 }
 
 /// Lets callers of a route arrive, and tells whether the last one has waited.
-fn is_retry(lefts: impl IntoIterator<Item = u64>) -> bool {
+fn is_retry(times_left: impl IntoIterator<Item = u64>) -> bool {
     let now = Instant::now();
     let mut detector = RetryDetector::new(now);
-    let all = lefts.into_iter();
+    let all = times_left.into_iter();
     all.map(|left| detector.observe(now, Duration::from_millis(left)))
         .last()
         .flatten()
@@ -130,13 +130,13 @@
 #[case::comes_back_at_once(4950, false)]
 #[case::is_new(5000, false)]
 #[case::has_more_time(9000, false)]
-fn observe_after_new_ones_with_five_seconds(#[case] left: u64, #[case] waited: bool) {
+fn observe_after_first_attempts_with_five_seconds(#[case] left: u64, #[case] waited: bool) {
     let new = std::iter::repeat_n(5000, 40);
     assert_eq!(is_retry(new.chain([left])), waited);
 }
 
 #[test]
-fn observe_knows_nothing_at_first() {
+fn observe_needs_enough_requests() {
     assert!(!is_retry([5000, 5000, 5000, 4000]));
 }
 
@@ -148,7 +148,7 @@
 
 /// Callers who have little time from the start have not waited.
 #[test]
-fn observe_of_two_kinds_of_callers() {
+fn observe_two_kinds_of_callers() {
     let kinds = (0..200).map(|n| if n % 4 == 0 { 3000 } else { 5000 });
     assert!(!is_retry(kinds.chain([3000])));
 }
@@ -176,16 +176,16 @@
 #[case::quarter_admitted(0.25, 0.68)]
 #[case::half_admitted(0.5, 0.94)]
 #[case::few_admitted(0.05, 0.19)]
-fn boosted_share_within_the_class(#[case] admitted: f64, #[case] expected: f64) {
+fn boosted_root_admitted_share(#[case] admitted: f64, #[case] expected: f64) {
     let rank = ClassRank::new(RANK);
     let first = Level::new(rank, 0).index();
-    let cut = first + ((1.0 - admitted) * Level::STEPS as f64) as usize;
+    let threshold = first + ((1.0 - admitted) * Level::STEPS as f64) as usize;
     let mut passed = 0;
     for n in 0..2000 {
-        let root = boosted(RootId::new(n * 7_919 + 1));
+        let root = boosted_root(RootId::new(n * 7_919 + 1));
         let level = Priority::new(rank, Depth::default(), root).level();
         assert_eq!(level.rank(), rank);
-        passed += u32::from(level.index() >= cut);
+        passed += u32::from(level.index() >= threshold);
     }
     let share = f64::from(passed) / 2000.0;
     assert!((share - expected).abs() < 0.05, "{share}");
@@ -193,43 +193,43 @@
 
 /// Returns an outlook after the open share of a class went from one to another
 /// in two seconds.
-fn outlook(from: f64, to: f64) -> Outlook {
+fn admitted(from: f64, to: f64) -> AdmittedShare {
     let rank = ClassRank::new(RANK);
     let first = f64::from(Level::new(rank, 0).get());
     let start = Instant::now();
-    let mut outlook = Outlook::default();
+    let mut admitted = AdmittedShare::default();
     for step in 0..=40 {
         let open = from + (to - from) * f64::from(step) / 40.0;
-        let cut = first + (1.0 - open) * Level::STEPS as f64;
+        let threshold = first + (1.0 - open) * Level::STEPS as f64;
         let now = start + Duration::from_millis(50) * step;
-        outlook.see(now, rank, Level::from_raw(cut as u32));
+        admitted.record(now, rank, Level::from_raw(threshold as u32));
     }
-    outlook
+    admitted
 }
 
 #[rstest]
 #[case::grows(0.3, 0.9, Trend::Grows)]
 #[case::steady(0.5, 0.5, Trend::Steady)]
 #[case::shrinks(0.9, 0.3, Trend::Shrinks)]
-fn outlook_trend(#[case] from: f64, #[case] to: f64, #[case] trend: Trend) {
-    assert_eq!(outlook(from, to).trend(), trend);
+fn admitted_share_trend(#[case] from: f64, #[case] to: f64, #[case] trend: Trend) {
+    assert_eq!(admitted(from, to).trend(), trend);
 }
 
 /// Returns the mean of what callers are told, in milliseconds.
-fn mean_told(refused: RefusedCaller, outlook: &Outlook) -> f64 {
+fn mean_backoff(refused: RefusedCaller, admitted: &AdmittedShare) -> f64 {
     let mut rng = StdRng::seed_from_u64(3);
-    let told = (0..500).map(|_| {
-        let time = backoff(refused, outlook, &mut rng).expect("there is time");
-        assert!(time <= refused.left / 3, "callers stay away no longer");
+    let backoffs = (0..500).map(|_| {
+        let time = backoff(refused, admitted, &mut rng).expect("there is time");
+        assert!(time <= refused.time_left / 3, "callers stay away no longer");
         time.as_secs_f64() * 1000.0
     });
-    told.sum::<f64>() / 500.0
+    backoffs.sum::<f64>() / 500.0
 }
 
-const fn refused(left: u64, spare: u64) -> RefusedCaller {
+const fn refused(left: u64, slack: u64) -> RefusedCaller {
     RefusedCaller {
-        left: Duration::from_millis(left),
-        spare: Duration::from_millis(spare),
+        time_left: Duration::from_millis(left),
+        slack: Duration::from_millis(slack),
     }
 }
 
@@ -237,43 +237,46 @@
 #[case::in_time(refused(5000, 700))]
 #[case::too_late_for_full_use(refused(5000, 0))]
 #[case::little_time(refused(1200, 0))]
-fn backoff_follows_the_room(#[case] refused: RefusedCaller) {
-    let grows = mean_told(refused, &outlook(0.3, 0.8));
-    let shrinks = mean_told(refused, &outlook(0.8, 0.3));
+fn backoff_follows_the_trend(#[case] refused: RefusedCaller) {
+    let grows = mean_backoff(refused, &admitted(0.3, 0.8));
+    let shrinks = mean_backoff(refused, &admitted(0.8, 0.3));
     assert!(shrinks < grows * 0.8, "{shrinks} and {grows}");
 }
 
 #[test]
 fn backoff_keeps_the_objective_while_some_are_served() {
     let mut rng = StdRng::seed_from_u64(5);
-    let outlook = outlook(0.4, 0.4);
+    let admitted = admitted(0.4, 0.4);
     for _ in 0..500 {
-        let time = backoff(refused(5000, 700), &outlook, &mut rng);
+        let time = backoff(refused(5000, 700), &admitted, &mut rng);
         assert!(time.expect("there is time") <= Duration::from_millis(700));
     }
 }
 
 #[test]
-fn backoff_waits_for_room_where_hardly_any_is() {
-    let hopeless = mean_told(refused(5000, 700), &outlook(0.02, 0.02));
+fn backoff_exceeds_the_objective_where_few_are_admitted() {
+    let hopeless = mean_backoff(refused(5000, 700), &admitted(0.02, 0.02));
     assert!(hopeless > 700.0, "{hopeless}");
 }
 
 #[test]
-fn backoff_promises_nothing_without_time() {
+fn backoff_is_none_without_time() {
     let mut rng = StdRng::seed_from_u64(5);
-    assert_eq!(backoff(refused(200, 0), &outlook(0.5, 0.5), &mut rng), None);
+    assert_eq!(
+        backoff(refused(200, 0), &admitted(0.5, 0.5), &mut rng),
+        None
+    );
 }
 
 #[rstest]
-#[case::levels("levels", Front::Levels)]
-#[case::backoff("backoff", Front::Backoff)]
-#[case::boost("boost", Front::Boost)]
-#[case::fail_fast("fail-fast", Front::FailFast)]
-fn front_parse(#[case] text: &str, #[case] front: Front) {
-    assert_eq!(text.parse::<Front>().ok(), Some(front));
+#[case::levels("levels", FrontMode::Levels)]
+#[case::backoff("backoff", FrontMode::Backoff)]
+#[case::boost("boost", FrontMode::Boost)]
+#[case::fail_fast("fail-fast", FrontMode::FailFast)]
+fn front_parse(#[case] text: &str, #[case] front: FrontMode) {
+    assert_eq!(text.parse::<FrontMode>().ok(), Some(front));
     assert_eq!(front.to_string(), text);
-    assert_eq!(front == Front::default(), front.options() == LEVELS);
+    assert_eq!(front == FrontMode::default(), front.options() == LEVELS);
 }
 
 fn instance(port: u16) -> Instance {
@@ -297,9 +300,16 @@
 #[case::all_asked(2, &[1, 2], true)]
 #[case::one_not_asked(2, &[1], false)]
 #[case::no_server(0, &[], true)]
-fn is_cut_off_by_servers(#[case] servers: u16, #[case] asked: &[u16], #[case] cut_off: bool) {
+fn is_unreachable_by_servers(
+    #[case] servers: u16,
+    #[case] asked: &[u16],
+    #[case] unreachable: bool,
+) {
     let asked: Vec<SocketAddr> = asked.iter().map(|port| instance(*port).address).collect();
-    assert_eq!(is_cut_off(Instant::now(), &table(servers), &asked), cut_off);
+    assert_eq!(
+        is_unreachable(Instant::now(), &table(servers), &asked),
+        unreachable
+    );
 }
 
 /// Returns a chain that heard of a call which did not reach its service.
@@ -319,13 +329,13 @@
 /// that all fail. The service above learns it from the first; within a second of
 /// the last that failed, trees are let through again.
 #[test]
-fn cut_off_refuses_trees_until_it_ages() {
+fn unreachable_demand_refuses_trees_until_it_ages() {
     let now = Instant::now();
     let rank = ClassRank::new(RANK);
     let tree = Priority::new(rank, Depth::default(), RootId::new(7)).level();
     let before = chain_after(now, rank, Demand::default(), false);
     assert!(tree >= before.level(now, rank, false), "else they begin");
-    let chain = chain_after(now, rank, CUT_OFF, true);
+    let chain = chain_after(now, rank, UNREACHABLE_DEMAND, true);
     assert!(tree < chain.level(now, rank, false), "refused at once");
     assert!(chain.highest(now).1.contains(rank), "told upwards");
     let later = now + Duration::from_secs(1);
--- a/tests/front/world.rs
+++ b/tests/front/world.rs
@@ -8,7 +8,7 @@
     Admission, Decision, Event, Outcome, Settings, Token, Waiting,
 };
 use bramleymount::policy::front::{
-    Options, Outlook, RefusedCaller, RetryDetector, backoff, boosted,
+    AdmittedShare, FrontOptions, RefusedCaller, RetryDetector, backoff, boosted_root,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -16,22 +16,22 @@
 
 const SLOTS: u32 = 15;
 const CALL_MS: u64 = 15;
-const CALLS: u32 = 8;
-const WAIT_MS: u64 = 5000;
+const CALLS_PER_TREE: u32 = 8;
+const CALLER_TIME_MS: u64 = 5000;
 const ATTEMPT_MS: u64 = 800;
 const OBJECTIVE_MS: u64 = 1500;
-const END_MS: u64 = 20_000;
+const RUN_MS: u64 = 20_000;
 /// Time in which news of the level reach the front.
-const NEWS_MS: u64 = 50;
+const STATUS_MS: u64 = 50;
 /// Share of the callers that are of the urgent class.
-const URGENT: f64 = 0.33;
+const URGENT_SHARE: f64 = 0.33;
 /// Trees a second that take all that can be served.
-pub(crate) const CAPACITY: f64 = 125.0;
+pub(crate) const TREES_PER_SECOND: f64 = 125.0;
 
 /// What became of the callers of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
-    came: u32,
+    arrivals: u32,
     served: u32,
     in_time: u32,
     returned: u32,
@@ -41,12 +41,12 @@
 impl Tally {
     /// Returns the share of the callers that were served.
     pub(crate) fn served(&self) -> f64 {
-        share(self.served, self.came)
+        share(self.served, self.arrivals)
     }
 
     /// Returns the share of them that were served within the objective.
     pub(crate) fn in_time(&self) -> f64 {
-        share(self.in_time, self.came)
+        share(self.in_time, self.arrivals)
     }
 
     /// Returns the share of those who came back that were served.
@@ -56,7 +56,7 @@
 
     /// Returns the share of the callers that were served at once.
     pub(crate) fn served_new(&self) -> f64 {
-        share(self.served - self.served_again, self.came)
+        share(self.served - self.served_again, self.arrivals)
     }
 }
 
@@ -67,20 +67,20 @@
 #[derive(Clone, Copy)]
 struct Caller {
     urgent: bool,
-    came: u64,
-    again: bool,
+    arrival: u64,
+    is_retry: bool,
 }
 
 #[derive(Clone, Copy)]
 struct Tree {
     caller: Caller,
     root: RootId,
-    left: u32,
-    until: u64,
+    calls_left: u32,
+    deadline_ms: u64,
 }
 
 pub(crate) struct World {
-    options: Options,
+    options: FrontOptions,
     demand: fn(u64) -> f64,
     restart: Option<u64>,
     start: Instant,
@@ -88,17 +88,17 @@
     admission: Admission,
     level: Level,
     detector: RetryDetector,
-    outlook: Outlook,
+    admitted: AdmittedShare,
     calls: HashMap<Token, Tree>,
     running: Vec<(u64, Token)>,
     returns: Vec<(u64, Caller)>,
-    next: u64,
+    next_token: u64,
     tallies: [Tally; 2],
 }
 
 impl World {
     /// Makes a world with so many callers a second, as a share of capacity.
-    pub(crate) fn new(options: Options, demand: fn(u64) -> f64) -> Self {
+    pub(crate) fn new(options: FrontOptions, demand: fn(u64) -> f64) -> Self {
         let start = Instant::now();
         let settings = Settings {
             slots: Slots::new(SLOTS),
@@ -115,11 +115,11 @@
             admission,
             level: Level::OPEN,
             detector: RetryDetector::new(start),
-            outlook: Outlook::default(),
+            admitted: AdmittedShare::default(),
             calls: HashMap::new(),
             running: Vec::new(),
             returns: Vec::new(),
-            next: 0,
+            next_token: 0,
             tallies: [Tally::default(); 2],
         }
     }
@@ -134,25 +134,25 @@
 
     /// Returns what became of the urgent callers and of the others.
     pub(crate) fn run(mut self) -> [Tally; 2] {
-        for now in 0..END_MS {
+        for now in 0..RUN_MS {
             if self.restart == Some(now) {
                 self.detector = RetryDetector::new(self.at(now));
-                self.outlook = Outlook::default();
+                self.admitted = AdmittedShare::default();
             }
             self.finish(now);
             let events = self.admission.expire(self.at(now));
-            self.take(now, events);
-            if now % NEWS_MS == 0 {
+            self.apply(now, events);
+            if now % STATUS_MS == 0 {
                 self.level = self.admission.news(self.at(now)).demand.level;
             }
-            let expected = (self.demand)(now) * CAPACITY / 1000.0;
+            let expected = (self.demand)(now) * TREES_PER_SECOND / 1000.0;
             if self.rng.random_bool(expected.min(1.0)) {
                 let caller = Caller {
-                    urgent: self.rng.random_bool(URGENT),
-                    came: now,
-                    again: false,
+                    urgent: self.rng.random_bool(URGENT_SHARE),
+                    arrival: now,
+                    is_retry: false,
                 };
-                self.tally(caller).came += 1;
+                self.tally(caller).arrivals += 1;
                 self.ask(now, caller);
             }
             let all = std::mem::take(&mut self.returns);
@@ -174,61 +174,62 @@
     }
 
     fn ask(&mut self, now: u64, caller: Caller) {
-        if caller.again {
+        if caller.is_retry {
             self.tally(caller).returned += 1;
         }
-        let left = Duration::from_millis(WAIT_MS - (now - caller.came));
-        let waited = self.detector.observe(self.at(now), left);
+        let time_left = Duration::from_millis(CALLER_TIME_MS - (now - caller.arrival));
+        let waited = self.detector.observe(self.at(now), time_left);
         let own = RootId::new(self.rng.random());
         let root = match waited {
-            Some(_) if self.options.boost => boosted(own),
+            Some(_) if self.options.boost => boosted_root(own),
             _ => own,
         };
         if priority(caller, 0, root).level() < self.level {
             return self.refuse(now, caller);
         }
-        let (left, until) = (CALLS, now + ATTEMPT_MS);
+        let (calls_left, deadline_ms) = (CALLS_PER_TREE, now + ATTEMPT_MS);
         self.call(
             now,
             Tree {
                 caller,
                 root,
-                left,
-                until,
+                calls_left,
+                deadline_ms,
             },
         );
     }
 
     fn refuse(&mut self, now: u64, caller: Caller) {
-        if caller.again {
+        if caller.is_retry {
             return;
         }
-        let left = Duration::from_millis(WAIT_MS - (now - caller.came));
+        let time_left = Duration::from_millis(CALLER_TIME_MS - (now - caller.arrival));
         let rank = rank(caller);
-        self.outlook.see(self.at(now), rank, self.level);
+        self.admitted.record(self.at(now), rank, self.level);
         let refused = RefusedCaller {
-            left,
-            spare: Duration::from_millis(OBJECTIVE_MS - ATTEMPT_MS),
+            time_left,
+            slack: Duration::from_millis(OBJECTIVE_MS - ATTEMPT_MS),
         };
-        let told = if self.options.backoff {
-            backoff(refused, &self.outlook, &mut self.rng)
+        let delay = if self.options.backoff {
+            backoff(refused, &self.admitted, &mut self.rng)
         } else {
             Some(Duration::from_millis(self.rng.random_range(500..1500)))
         };
-        let told = told.unwrap_or_default().as_millis() as u64;
-        let again = true;
-        self.returns.push((now + told, Caller { again, ..caller }));
+        let delay = delay.unwrap_or_default().as_millis() as u64;
+        let is_retry = true;
+        self.returns
+            .push((now + delay, Caller { is_retry, ..caller }));
     }
 
     fn call(&mut self, now: u64, tree: Tree) {
         let priority = priority(tree.caller, 1, tree.root);
-        if priority.level() < self.level || now >= tree.until {
+        if priority.level() < self.level || now >= tree.deadline_ms {
             return self.fail(now, tree);
         }
-        self.next += 1;
-        let token = Token(self.next);
+        self.next_token += 1;
+        let token = Token(self.next_token);
         self.calls.insert(token, tree);
-        let deadline = self.at(tree.until);
+        let deadline = self.at(tree.deadline_ms);
         let call = Waiting {
             token,
             priority,
@@ -243,10 +244,10 @@
             Decision::Wait(_) => {}
             Decision::Shed(_) => self.shed(now, token),
         }
-        self.take(now, events);
+        self.apply(now, events);
     }
 
-    fn take(&mut self, now: u64, events: Vec<Event>) {
+    fn apply(&mut self, now: u64, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::Start(token) => self.running.push((now + CALL_MS, token)),
@@ -262,12 +263,12 @@
     }
 
     fn fail(&mut self, now: u64, tree: Tree) {
-        if !tree.caller.again {
-            let again = true;
+        if !tree.caller.is_retry {
+            let is_retry = true;
             self.returns.push((
                 now + 1,
                 Caller {
-                    again,
+                    is_retry,
                     ..tree.caller
                 },
             ));
@@ -283,11 +284,11 @@
             let events = self
                 .admission
                 .finish(self.at(now), token, Outcome::Answered);
-            self.take(now, events);
+            self.apply(now, events);
             match self.calls.remove(&token) {
-                Some(tree) if tree.left > 1 => {
-                    let left = tree.left - 1;
-                    self.call(now, Tree { left, ..tree });
+                Some(tree) if tree.calls_left > 1 => {
+                    let calls_left = tree.calls_left - 1;
+                    self.call(now, Tree { calls_left, ..tree });
                 }
                 Some(tree) => self.answer(now, tree.caller),
                 None => {}
@@ -296,11 +297,11 @@
     }
 
     fn answer(&mut self, now: u64, caller: Caller) {
-        let in_time = now - caller.came <= OBJECTIVE_MS;
+        let in_time = now - caller.arrival <= OBJECTIVE_MS;
         let tally = self.tally(caller);
         tally.served += 1;
         tally.in_time += u32::from(in_time);
-        tally.served_again += u32::from(caller.again);
+        tally.served_again += u32::from(caller.is_retry);
     }
 }
 
--- a/tests/limited_targets.rs
+++ b/tests/limited_targets.rs
@@ -13,7 +13,7 @@
 use bramleymount::model::{
     CentreName, ClassRank, Demand, GuardNews, Instance, Level, Rate, RunId, Slots, StartStamp, Told,
 };
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use tokio::time::Instant;
@@ -35,15 +35,15 @@
     table
 }
 
-fn want() -> Want {
-    Want {
+fn needs() -> CallNeeds {
+    CallNeeds {
         level: Level::new(ClassRank::new(1), 0),
         protected: false,
         avoid: None,
     }
 }
 
-fn told(table: &mut Table, now: Instant, n: u16, room_ms: u64, level: Level) {
+fn report_rate(table: &mut Table, now: Instant, n: u16, delay_ms: u64, level: Level) {
     let news = GuardNews {
         demand: Demand {
             level,
@@ -54,85 +54,95 @@
             rate: Some(Rate::per_second(5.0)),
             leaving: false,
         }),
-        room: Duration::from_millis(room_ms),
+        room: Duration::from_millis(delay_ms),
         ..GuardNews::default()
     };
-    table.sent(instance(n));
-    table.report(now, instance(n), Report::Heard(news));
+    table.record_sent(instance(n));
+    table.report(now, instance(n), AttemptReport::Responded(news));
 }
 
 #[test]
-fn choose_passes_over_targets_without_room() {
+fn choose_skips_targets_without_rate_capacity() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    told(&mut table, now, 1, 200, Level::OPEN);
+    report_rate(&mut table, now, 1, 200, Level::OPEN);
     for _ in 0..50 {
-        let picked = table.choose(now, want(), &mut rng);
+        let picked = table.choose(now, needs(), &mut rng);
         assert!(
             matches!(picked, Pick::Target(i) if i != instance(1)),
             "{picked:?}"
         );
     }
-    told(&mut table, now, 2, 200, Level::OPEN);
-    let picked = table.choose(now, want(), &mut rng);
+    report_rate(&mut table, now, 2, 200, Level::OPEN);
+    let picked = table.choose(now, needs(), &mut rng);
     assert_eq!(picked, Pick::Target(instance(3)));
 }
 
 #[test]
-fn choose_uses_a_target_again_once_it_has_room() {
+fn choose_uses_a_target_again_after_its_rate_delay() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    told(&mut table, now, 1, 200, Level::OPEN);
+    report_rate(&mut table, now, 1, 200, Level::OPEN);
     let later = now + Duration::from_millis(200);
     let picked: Vec<_> = (0..50)
-        .map(|_| table.choose(later, want(), &mut rng))
+        .map(|_| table.choose(later, needs(), &mut rng))
         .collect();
     assert!(picked.contains(&Pick::Target(instance(1))));
 }
 
 #[test]
-fn choose_waits_where_there_is_room_first() {
+fn choose_waits_at_the_target_with_the_shortest_delay() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    for (n, room) in [(1, 300), (2, 100), (3, 200)] {
-        told(&mut table, now, n, room, Level::OPEN);
+    for (n, delay) in [(1, 300), (2, 100), (3, 200)] {
+        report_rate(&mut table, now, n, delay, Level::OPEN);
     }
-    assert_eq!(table.choose(now, want(), &mut rng), Pick::Wait(instance(2)));
-    assert_eq!(table.wait(now), Some(Duration::from_millis(100)));
+    assert_eq!(
+        table.choose(now, needs(), &mut rng),
+        Pick::Wait(instance(2))
+    );
+    assert_eq!(table.rate_delay(now), Some(Duration::from_millis(100)));
 }
 
 #[test]
-fn choose_refuses_by_class_where_none_has_room() {
+fn choose_refuses_by_class_where_none_has_rate_capacity() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     let level = Level::new(ClassRank::new(0), 0);
     for n in [1, 2, 3] {
-        told(&mut table, now, n, 300, level);
+        report_rate(&mut table, now, n, 300, level);
     }
-    assert_eq!(table.choose(now, want(), &mut rng), Pick::Refused(level));
-    let urgent = Want { level, ..want() };
+    assert_eq!(table.choose(now, needs(), &mut rng), Pick::Refused(level));
+    let urgent = CallNeeds { level, ..needs() };
     let picked = table.choose(now, urgent, &mut rng);
     assert!(matches!(picked, Pick::Wait(_)), "{picked:?}");
 }
 
 #[test]
-fn hear_ends_the_wait_where_the_server_names_no_rate() {
+fn record_status_ends_the_wait_where_the_server_sets_no_rate() {
     let (mut table, now) = (table(), Instant::now());
     for n in [1, 2, 3] {
-        told(&mut table, now, n, 300, Level::OPEN);
+        report_rate(&mut table, now, n, 300, Level::OPEN);
     }
-    table.report(now, instance(2), Report::Heard(GuardNews::default()));
-    assert_eq!(table.wait(now), None);
+    table.report(
+        now,
+        instance(2),
+        AttemptReport::Responded(GuardNews::default()),
+    );
+    assert_eq!(table.rate_delay(now), None);
 }
 
 #[test]
-fn choose_does_not_wait_at_a_target_out_of_reach() {
+fn choose_does_not_wait_at_an_unreachable_target() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    for (n, room) in [(1, 300), (2, 100), (3, 200)] {
-        told(&mut table, now, n, room, Level::OPEN);
+    for (n, delay) in [(1, 300), (2, 100), (3, 200)] {
+        report_rate(&mut table, now, n, delay, Level::OPEN);
     }
-    table.sent(instance(2));
-    table.report(now, instance(2), Report::Silent);
-    assert_eq!(table.choose(now, want(), &mut rng), Pick::Wait(instance(3)));
+    table.record_sent(instance(2));
+    table.report(now, instance(2), AttemptReport::Unreachable);
+    assert_eq!(
+        table.choose(now, needs(), &mut rng),
+        Pick::Wait(instance(3))
+    );
 }
--- a/tests/limited_trees.rs
+++ b/tests/limited_trees.rs
@@ -17,7 +17,7 @@
 use bramleymount::policy::admission::{
     Admission, Decision, Event, Met, Outcome, Settings, Shed, Token, Waiting,
 };
-use bramleymount::policy::route::{Report, Table, Target};
+use bramleymount::policy::route::{AttemptReport, Table, Target};
 use tokio::time::Instant;
 
 const LEFT: Duration = Duration::from_secs(5);
@@ -89,8 +89,8 @@
     let target = |n| Target::new(instance(n), centre(), Slots::new(50));
     table.update(vec![target(1), target(2)]);
     for n in [1, 2] {
-        table.sent(instance(n));
-        table.report(now, instance(n), Report::Heard(news));
+        table.record_sent(instance(n));
+        table.report(now, instance(n), AttemptReport::Responded(news));
     }
     table
 }
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -13,7 +13,7 @@
 use bramleymount::model::{
     CentreName, ClassRank, Demand, GuardNews, Instance, Level, Percent, Slots, StartStamp,
 };
-use bramleymount::policy::route::{Pick, Report, Split, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Split, Table, Target};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rstest::rstest;
@@ -36,8 +36,8 @@
     table
 }
 
-fn want(level: Level) -> Want {
-    Want {
+fn needs(level: Level) -> CallNeeds {
+    CallNeeds {
         level,
         protected: false,
         avoid: None,
@@ -45,26 +45,26 @@
 }
 
 #[test]
-fn choose_avoids_all_targets_out_of_reach() {
+fn choose_avoids_unreachable_targets() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     for n in [2, 3] {
-        table.sent(instance(n));
-        table.report(now, instance(n), Report::Silent);
+        table.record_sent(instance(n));
+        table.report(now, instance(n), AttemptReport::Unreachable);
     }
     for _ in 0..100 {
-        let picked = table.choose(now, want(Level::new(ClassRank::new(0), 0)), &mut rng);
+        let picked = table.choose(now, needs(Level::new(ClassRank::new(0), 0)), &mut rng);
         assert_eq!(picked, Pick::Target(instance(1)));
     }
 }
 
 #[test]
-fn choose_refuses_rather_than_go_out_of_reach() {
+fn choose_refuses_rather_than_use_unreachable_targets() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     for n in [2, 3] {
-        table.sent(instance(n));
-        table.report(now, instance(n), Report::Silent);
+        table.record_sent(instance(n));
+        table.report(now, instance(n), AttemptReport::Unreachable);
     }
     let full = GuardNews {
         demand: Demand {
@@ -73,39 +73,43 @@
         },
         ..GuardNews::default()
     };
-    table.sent(instance(1));
-    table.report(now, instance(1), Report::Heard(full));
-    let picked = table.choose(now, want(Level::OPEN), &mut rng);
+    table.record_sent(instance(1));
+    table.report(now, instance(1), AttemptReport::Responded(full));
+    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
     assert!(matches!(picked, Pick::Refused(_)), "{picked:?}");
 }
 
 #[test]
-fn choose_tries_targets_out_of_reach_if_there_is_no_other() {
+fn choose_tries_unreachable_targets_if_there_is_no_other() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     for n in [1, 2, 3] {
-        table.sent(instance(n));
-        table.report(now, instance(n), Report::Silent);
+        table.record_sent(instance(n));
+        table.report(now, instance(n), AttemptReport::Unreachable);
     }
-    let picked = table.choose(now, want(Level::OPEN), &mut rng);
+    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
     assert!(matches!(picked, Pick::Target(_)), "{picked:?}");
-    let picked = table.choose_except(now, want(Level::OPEN), &[1, 2, 3].map(instance), &mut rng);
-    assert_eq!(picked, Pick::Nothing);
+    let picked = table.choose_except(now, needs(Level::OPEN), &[1, 2, 3].map(instance), &mut rng);
+    assert_eq!(picked, Pick::NoTarget);
 }
 
 #[test]
-fn is_fresh_ends_soon_after_the_last_word() {
+fn has_recent_status_ends_soon_after_the_last_response() {
     let (mut table, now) = (table(), Instant::now());
-    assert!(!table.is_fresh(now, instance(2)));
-    table.report(now, instance(2), Report::Heard(GuardNews::default()));
-    assert!(table.is_fresh(now, instance(2)));
-    assert!(!table.is_fresh(now + Duration::from_secs(1), instance(2)));
+    assert!(!table.has_recent_status(now, instance(2)));
+    table.report(
+        now,
+        instance(2),
+        AttemptReport::Responded(GuardNews::default()),
+    );
+    assert!(table.has_recent_status(now, instance(2)));
+    assert!(!table.has_recent_status(now + Duration::from_secs(1), instance(2)));
 }
 
 /// One of three servers fails every call at once while its health check is
 /// good, and so always has the least load. Its data centre is the entry's own.
 #[test]
-fn choose_leaves_out_a_server_that_fails_all() {
+fn choose_avoids_a_server_that_fails_all() {
     let mut table = table();
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
@@ -113,7 +117,7 @@
     for turn in 0..1000_u32 {
         // A thousand calls in five seconds.
         let now = start + Duration::from_millis(5) * turn;
-        let Pick::Target(target) = table.choose(now, want(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(1);
@@ -122,7 +126,7 @@
             load: if bad { 0 } else { 26 },
             ..GuardNews::default()
         };
-        table.report(now, target, Report::Heard(news));
+        table.report(now, target, AttemptReport::Responded(news));
         to_bad += u32::from(bad);
     }
     assert!((2..20).contains(&to_bad), "{to_bad} of 1000 calls");
@@ -130,7 +134,7 @@
 
 /// All servers fail alike, so none is left out.
 #[test]
-fn choose_keeps_servers_that_fail_alike() {
+fn choose_keeps_servers_that_fail_equally() {
     let mut table = table();
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
@@ -139,9 +143,9 @@
             faults: Percent::new(55),
             ..GuardNews::default()
         };
-        table.report(now, instance(n), Report::Heard(news));
+        table.report(now, instance(n), AttemptReport::Responded(news));
     }
-    let chosen = table.choose(now, want(Level::OPEN), &mut rng);
+    let chosen = table.choose(now, needs(Level::OPEN), &mut rng);
     assert_eq!(chosen, Pick::Target(instance(1)));
 }
 
@@ -154,15 +158,15 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut to_bad = 0;
     for turn in 0..600 {
-        let Pick::Target(target) = table.choose(now, want(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(2);
         let news = GuardNews::default();
         let report = if bad && turn % 2 == 0 {
-            Report::Rejected(news)
+            AttemptReport::Rejected(news)
         } else {
-            Report::Heard(news)
+            AttemptReport::Responded(news)
         };
         table.report(now, target, report);
         to_bad += u32::from(bad && turn >= 300);
@@ -175,17 +179,17 @@
 #[case::uneven(&[9000, 1000])]
 #[case::three(&[50, 30, 20])]
 #[case::none_for_one(&[10, 0])]
-fn split_deals_by_weight(#[case] weights: &[u32], #[values(0.0, 0.4, 0.99)] offset: f64) {
+fn split_follows_weights(#[case] weights: &[u32], #[values(0.0, 0.4, 0.99)] offset: f64) {
     let mut split = Split::new(weights, offset);
-    let mut dealt = vec![0_u32; weights.len()];
+    let mut counts = vec![0_u32; weights.len()];
     for _ in 0..200 {
-        dealt[split.next(weights).expect("a place")] += 1;
+        counts[split.next(weights).expect("a place")] += 1;
     }
     let sum: u32 = weights.iter().sum();
-    for (count, weight) in dealt.iter().zip(weights) {
+    for (count, weight) in counts.iter().zip(weights) {
         let share = f64::from(*weight) / f64::from(sum);
         let off = (f64::from(*count) / 200.0 - share).abs();
-        assert!(off < 0.02, "{dealt:?}");
+        assert!(off < 0.02, "{counts:?}");
     }
     assert_eq!(split.next(&vec![0; weights.len()]), None);
 }
--- a/tests/route_demand.rs
+++ b/tests/route_demand.rs
@@ -14,7 +14,7 @@
 use bramleymount::model::{
     ClassRank, Demand, GuardNews, Instance, Level, RankSet, Slots, StartStamp,
 };
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rstest::rstest;
@@ -36,11 +36,11 @@
 }
 
 /// The level that is demanded of work that leads to the short service.
-fn below() -> Level {
+fn downstream_level() -> Level {
     Level::new(ClassRank::new(2), 48_000)
 }
 
-fn hear(table: &mut Table, now: Instant, n: u16, below: Level) {
+fn report_level(table: &mut Table, now: Instant, n: u16, below: Level) {
     let mut classes = RankSet::default();
     classes.set(ClassRank::new(2), true);
     let news = GuardNews {
@@ -51,49 +51,49 @@
         },
         ..GuardNews::default()
     };
-    table.sent(instance(n));
-    table.report(now, instance(n), Report::Heard(news));
+    table.record_sent(instance(n));
+    table.report(now, instance(n), AttemptReport::Responded(news));
 }
 
 #[rstest]
-#[case::others_were_never_heard(None)]
-#[case::others_were_heard_a_second_ago(Some(Duration::from_secs(1)))]
-fn demand_is_that_of_targets_heard_just_now(#[case] before: Option<Duration>) {
+#[case::others_never_responded(None)]
+#[case::others_responded_a_second_ago(Some(Duration::from_secs(1)))]
+fn demand_is_that_of_targets_with_fresh_levels(#[case] before: Option<Duration>) {
     let (mut table, start) = (table(), Instant::now());
     if before.is_some() {
-        (1..=TARGETS).for_each(|n| hear(&mut table, start, n, below()));
+        (1..=TARGETS).for_each(|n| report_level(&mut table, start, n, downstream_level()));
     }
     let now = start + before.unwrap_or_default();
     [2, 6, 11]
         .iter()
-        .for_each(|n| hear(&mut table, now, *n, below()));
-    assert_eq!(table.demand(now).below, below());
-    let want = |hash| Want {
+        .for_each(|n| report_level(&mut table, now, *n, downstream_level()));
+    assert_eq!(table.demand(now).below, downstream_level());
+    let needs = |hash| CallNeeds {
         level: Level::new(ClassRank::new(2), hash),
         protected: false,
         avoid: None,
     };
     let mut rng = StdRng::seed_from_u64(1);
-    let picked = table.choose(now, want(20_000), &mut rng);
+    let picked = table.choose(now, needs(20_000), &mut rng);
     assert!(matches!(picked, Pick::Refused(_)), "{picked:?}");
-    let picked = table.choose(now, want(60_000), &mut rng);
+    let picked = table.choose(now, needs(60_000), &mut rng);
     assert!(matches!(picked, Pick::Target(_)), "{picked:?}");
 }
 
 #[test]
-fn demand_is_their_mean() {
+fn demand_is_the_mean_of_fresh_levels() {
     let (mut table, now) = (table(), Instant::now());
-    hear(&mut table, now, 3, Level::from_raw(20_000));
-    hear(&mut table, now, 9, Level::from_raw(10_000));
+    report_level(&mut table, now, 3, Level::from_raw(20_000));
+    report_level(&mut table, now, 9, Level::from_raw(10_000));
     assert_eq!(table.demand(now).below, Level::from_raw(15_000));
 }
 
 #[test]
-fn demand_falls_when_nothing_is_heard() {
+fn demand_falls_without_new_levels() {
     let (mut table, start) = (table(), Instant::now());
-    (1..=TARGETS).for_each(|n| hear(&mut table, start, n, below()));
+    (1..=TARGETS).for_each(|n| report_level(&mut table, start, n, downstream_level()));
     let at = |ms| start + Duration::from_millis(ms);
-    assert_eq!(table.demand(at(100)).below, below());
-    assert!(table.demand(at(200)).below < below());
+    assert_eq!(table.demand(at(100)).below, downstream_level());
+    assert!(table.demand(at(200)).below < downstream_level());
     assert_eq!(table.demand(at(10_000)).below, Level::OPEN);
 }
--- a/tests/single_calls.rs
+++ b/tests/single_calls.rs
@@ -23,17 +23,17 @@
 const READ_MS: u64 = 15;
 const SINGLE_MS: u64 = 48;
 /// Trees a second that ask for twice what can be served.
-const TREES: f64 = 250.0;
-const SINGLES: f64 = 25.0;
-const READS: u32 = 8;
-const OF_USE_MS: u64 = 150;
-const END_MS: u64 = 10_000;
+const TREES_PER_SECOND: f64 = 250.0;
+const SINGLES_PER_SECOND: f64 = 25.0;
+const READS_PER_TREE: u32 = 8;
+const USEFUL_MS: u64 = 150;
+const RUN_MS: u64 = 10_000;
 const RANK: usize = 2;
 
 #[derive(Clone, Copy)]
 enum Work {
-    Single { came: u64 },
-    Read { root: RootId, left: u32 },
+    Single { arrival: u64 },
+    Read { root: RootId, reads_left: u32 },
 }
 
 struct World {
@@ -42,14 +42,14 @@
     rng: StdRng,
     work: HashMap<Token, Work>,
     running: Vec<(u64, Token)>,
-    next: u64,
-    marked: bool,
-    served: u32,
-    trees: u32,
+    next_token: u64,
+    mark_singles: bool,
+    singles_served: u32,
+    trees_served: u32,
 }
 
 impl World {
-    fn new(marked: bool) -> Self {
+    fn new(mark_singles: bool) -> Self {
         let start = Instant::now();
         let settings = Settings {
             slots: Slots::new(SLOTS),
@@ -62,10 +62,10 @@
             rng: StdRng::seed_from_u64(7),
             work: HashMap::new(),
             running: Vec::new(),
-            next: 0,
-            marked,
-            served: 0,
-            trees: 0,
+            next_token: 0,
+            mark_singles,
+            singles_served: 0,
+            trees_served: 0,
         }
     }
 
@@ -78,7 +78,7 @@
         let (priority, time) = match work {
             Work::Single { .. } => {
                 let root = RootId::new(self.rng.random());
-                let priority = if self.marked {
+                let priority = if self.mark_singles {
                     Priority::single(rank, root)
                 } else {
                     Priority::new(rank, Depth::default(), root)
@@ -87,8 +87,8 @@
             }
             Work::Read { root, .. } => (Priority::new(rank, Depth::new(3), root), 700),
         };
-        self.next += 1;
-        let token = Token(self.next);
+        self.next_token += 1;
+        let token = Token(self.next_token);
         self.work.insert(token, work);
         let deadline = self.at(now + time);
         let call = Waiting {
@@ -105,10 +105,10 @@
             Decision::Wait(_) => {}
             Decision::Shed(_) => drop(self.work.remove(&token)),
         }
-        self.take(now, events);
+        self.apply(now, events);
     }
 
-    fn take(&mut self, now: u64, events: Vec<Event>) {
+    fn apply(&mut self, now: u64, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::Start(token) => self.begin(now, token),
@@ -132,13 +132,15 @@
         for (_, token) in ended {
             let outcome = bramleymount::policy::admission::Outcome::Answered;
             let events = self.admission.finish(self.at(now), token, outcome);
-            self.take(now, events);
+            self.apply(now, events);
             match self.work.remove(&token) {
-                Some(Work::Single { came }) if now - came <= OF_USE_MS => self.served += 1,
-                Some(Work::Read { left: 1, .. }) => self.trees += 1,
-                Some(Work::Read { root, left }) => {
-                    let left = left - 1;
-                    self.arrive(now, Work::Read { root, left });
+                Some(Work::Single { arrival }) if now - arrival <= USEFUL_MS => {
+                    self.singles_served += 1
+                }
+                Some(Work::Read { reads_left: 1, .. }) => self.trees_served += 1,
+                Some(Work::Read { root, reads_left }) => {
+                    let reads_left = reads_left - 1;
+                    self.arrive(now, Work::Read { root, reads_left });
                 }
                 Some(Work::Single { .. }) | None => {}
             }
@@ -147,21 +149,30 @@
 
     /// Returns the shares of singles and of trees that were served.
     fn run(mut self) -> (f64, f64) {
-        for now in 0..END_MS {
+        for now in 0..RUN_MS {
             self.finish(now);
             let events = self.admission.expire(self.at(now));
-            self.take(now, events);
-            if self.rng.random_bool(TREES / 1000.0) {
+            self.apply(now, events);
+            if self.rng.random_bool(TREES_PER_SECOND / 1000.0) {
                 let root = RootId::new(self.rng.random());
-                self.arrive(now, Work::Read { root, left: READS });
+                self.arrive(
+                    now,
+                    Work::Read {
+                        root,
+                        reads_left: READS_PER_TREE,
+                    },
+                );
             }
-            if self.rng.random_bool(SINGLES / 1000.0) {
-                self.arrive(now, Work::Single { came: now });
+            if self.rng.random_bool(SINGLES_PER_SECOND / 1000.0) {
+                self.arrive(now, Work::Single { arrival: now });
             }
         }
-        let secs = END_MS as f64 / 1000.0;
+        let secs = RUN_MS as f64 / 1000.0;
         let share = |count: u32, rate: f64| f64::from(count) / (rate * secs);
-        (share(self.served, SINGLES), share(self.trees, TREES))
+        (
+            share(self.singles_served, SINGLES_PER_SECOND),
+            share(self.trees_served, TREES_PER_SECOND),
+        )
     }
 }
 
@@ -181,14 +192,14 @@
 #[rstest]
 #[case::most_trees_refused(0.85, 1.0)]
 #[case::half_of_the_singles_refused(0.9375, 0.5)]
-fn single_is_refused_after_most_trees(#[case] refused: f64, #[case] taken: f64) {
+fn single_is_refused_after_most_trees(#[case] refused: f64, #[case] expected: f64) {
     let rank = ClassRank::new(RANK);
-    let lowest = u32::from(Level::new(rank, 0).get());
-    let cut = Level::from_raw(lowest + (refused * Level::STEPS as f64) as u32);
+    let lowest_level = u32::from(Level::new(rank, 0).get());
+    let threshold = Level::from_raw(lowest_level + (refused * Level::STEPS as f64) as u32);
     let roots = (0..1000).map(|n: u128| RootId::new(n * 7_919 + 1));
-    let open = roots.filter(|root| Priority::single(rank, *root).level() >= cut);
+    let open = roots.filter(|root| Priority::single(rank, *root).level() >= threshold);
     let share = open.count() as f64 / 1000.0;
-    assert!((share - taken).abs() < 0.06, "{share}");
+    assert!((share - expected).abs() < 0.06, "{share}");
 }
 
 #[test]
@@ -202,21 +213,21 @@
 
 /// Tells whether a table takes a class's own calls for single ones after they
 /// made others as often as `onward` says.
-fn learned(onward: impl Fn(u32) -> bool) -> bool {
+fn learns_single_calls(onward: impl Fn(u32) -> bool) -> bool {
     let mut table = Table::new("dc-1".parse().expect("a name"));
     for call in 0..200 {
-        table.own_call(ClassRank::new(RANK), onward(call));
+        table.record_own_call(ClassRank::new(RANK), onward(call));
     }
-    table.is_single(ClassRank::new(RANK))
+    table.is_single_call(ClassRank::new(RANK))
 }
 
 #[test]
-fn is_single_follows_what_answers_tell() {
+fn is_single_call_follows_recent_answers() {
     let rank = ClassRank::new(RANK);
     let table = Table::new("dc-1".parse().expect("a name"));
-    assert!(!table.is_single(rank), "nothing is known yet");
-    assert!(learned(|_| false));
-    assert!(learned(|call| call == 10), "one long ago");
-    assert!(!learned(|call| call % 4 == 0), "one in four");
-    assert!(!learned(|call| call >= 190), "the last ten");
+    assert!(!table.is_single_call(rank), "nothing is known yet");
+    assert!(learns_single_calls(|_| false));
+    assert!(learns_single_calls(|call| call == 10), "one long ago");
+    assert!(!learns_single_calls(|call| call % 4 == 0), "one in four");
+    assert!(!learns_single_calls(|call| call >= 190), "the last ten");
 }
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -43,7 +43,7 @@
     let service = "svc".parse().expect("a name");
     let table = entry.daemon.shared().routes.table(&service);
     let at = server.vm.daemon.shared().instance;
-    table.lock().pace(Instant::now(), at)
+    table.lock().latency_ratio(Instant::now(), at)
 }
 
 /// Requests end at 0.8 s where an answer has its full use for 1 s.
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -17,7 +17,7 @@
     CentreName, ClassRank, Depth, GuardNews, Instance, Level, Percent, Slots, Span, StartStamp,
 };
 use bramleymount::policy::route::{
-    Balance, Kind, Pick, Report, Table, Target, TargetState, Took, Want,
+    AttemptReport, Balance, CallKind, CallNeeds, CallTime, Pick, Table, Target, TargetState,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -27,10 +27,10 @@
 const SLOTS: u32 = 83;
 const WORK_MS: f64 = 120.0;
 /// Times of four neighbours as multiples of the mean: of speeds 0.55 and 1.2.
-const PACES: [f64; 4] = [1.0 / 0.55, 1.0 / 1.2, 1.0 / 1.2, 1.0 / 1.2];
+const TIME_RATIOS: [f64; 4] = [1.0 / 0.55, 1.0 / 1.2, 1.0 / 1.2, 1.0 / 1.2];
 
-fn kind(depth: u8) -> Kind {
-    Kind {
+fn kind(depth: u8) -> CallKind {
+    CallKind {
         rank: ClassRank::new(0),
         depth: Depth::new(depth),
     }
@@ -56,42 +56,42 @@
     table
 }
 
-const WANT: Want = Want {
+const NEEDS: CallNeeds = CallNeeds {
     level: Level::OPEN,
     protected: false,
     avoid: None,
 };
 
-struct Under {
-    ends: f64,
+struct InFlight {
+    end_ms: f64,
     entry: usize,
     server: usize,
-    took: Duration,
+    time: Duration,
 }
 
 /// Servers of a service, and entries that send them calls.
 struct World {
     entries: Vec<Table>,
     /// Time of a call at each server, in milliseconds.
-    times: Vec<f64>,
+    times_ms: Vec<f64>,
     calls: Vec<u32>,
-    most: Vec<u32>,
-    under: Vec<Under>,
+    max_in_flight: Vec<u32>,
+    in_flight: Vec<InFlight>,
     now_ms: f64,
     start: Instant,
     rng: StdRng,
 }
 
 impl World {
-    fn new(entries: usize, times: Vec<f64>, by_time: bool) -> Self {
-        let servers = times.len();
+    fn new(entries: usize, times_ms: Vec<f64>, by_time: bool) -> Self {
+        let servers = times_ms.len();
         let entries = (0..entries).map(|_| table(servers, by_time));
         Self {
             entries: entries.collect(),
-            times,
+            times_ms,
             calls: vec![0; servers],
-            most: vec![0; servers],
-            under: Vec::new(),
+            max_in_flight: vec![0; servers],
+            in_flight: Vec::new(),
             now_ms: 0.0,
             start: Instant::now(),
             rng: StdRng::seed_from_u64(11),
@@ -99,24 +99,28 @@
     }
 
     fn uneven(entries: usize, by_time: bool) -> Self {
-        let times = PACES.iter().cycle().take(30).map(|pace| WORK_MS * pace);
-        Self::new(entries, times.collect(), by_time)
+        let times_ms = TIME_RATIOS
+            .iter()
+            .cycle()
+            .take(30)
+            .map(|ratio| WORK_MS * ratio);
+        Self::new(entries, times_ms.collect(), by_time)
     }
 
     /// Returns the calls a second that take a share of all slots.
     fn rate(&self, share: f64) -> f64 {
         let full = |time: &f64| f64::from(SLOTS) * 1000.0 / time;
-        share * self.times.iter().map(full).sum::<f64>()
+        share * self.times_ms.iter().map(full).sum::<f64>()
     }
 
     fn load(&self, server: usize) -> u32 {
-        self.under.iter().filter(|u| u.server == server).count() as u32
+        self.in_flight.iter().filter(|u| u.server == server).count() as u32
     }
 
     /// Lets calls come for a while; what is counted starts anew.
     fn run(&mut self, ms: f64, per_second: f64) {
         self.calls.fill(0);
-        self.most.fill(0);
+        self.max_in_flight.fill(0);
         let end = self.now_ms + ms;
         loop {
             let chance: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
@@ -138,32 +142,35 @@
     fn send(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
         let now = self.at(self.now_ms);
-        let Pick::Target(chosen) = self.entries[entry].choose(now, WANT, &mut self.rng) else {
+        let Pick::Target(chosen) = self.entries[entry].choose(now, NEEDS, &mut self.rng) else {
             panic!("no target");
         };
         let server = usize::from(chosen.address.port());
-        let time = self.times[server] * self.rng.random_range(0.7..1.3);
+        let time = self.times_ms[server] * self.rng.random_range(0.7..1.3);
         self.calls[server] += 1;
-        self.under.push(Under {
-            ends: self.now_ms + time,
+        self.in_flight.push(InFlight {
+            end_ms: self.now_ms + time,
             entry,
             server,
-            took: Duration::from_secs_f64(time / 1000.0),
+            time: Duration::from_secs_f64(time / 1000.0),
         });
-        self.most[server] = self.most[server].max(self.load(server));
+        self.max_in_flight[server] = self.max_in_flight[server].max(self.load(server));
     }
 
     fn finish(&mut self) {
-        self.under.sort_by(|a, b| b.ends.total_cmp(&a.ends));
-        while let Some(under) = self.under.pop_if(|under| under.ends <= self.now_ms) {
+        self.in_flight.sort_by(|a, b| b.end_ms.total_cmp(&a.end_ms));
+        while let Some(in_flight) = self
+            .in_flight
+            .pop_if(|in_flight| in_flight.end_ms <= self.now_ms)
+        {
             let news = GuardNews {
-                load: self.load(under.server),
+                load: self.load(in_flight.server),
                 ..GuardNews::default()
             };
-            let (now, at) = (self.at(under.ends), instance(under.server));
-            let table = &mut self.entries[under.entry];
-            table.report(now, at, Report::Heard(news));
-            table.took(now, at, kind(2), Took::Answered(under.took));
+            let (now, at) = (self.at(in_flight.end_ms), instance(in_flight.server));
+            let table = &mut self.entries[in_flight.entry];
+            table.report(now, at, AttemptReport::Responded(news));
+            table.record_time(now, at, kind(2), CallTime::Answered(in_flight.time));
         }
     }
 
@@ -174,7 +181,7 @@
     }
 
     fn mean_ms(&self) -> f64 {
-        let shares = (0..self.times.len()).map(|n| self.times[n] * self.share(|m| m == n));
+        let shares = (0..self.times_ms.len()).map(|n| self.times_ms[n] * self.share(|m| m == n));
         shares.sum()
     }
 }
@@ -199,12 +206,12 @@
 #[rstest]
 #[case::alone(1, 0.9)]
 #[case::many_entries(24, 0.4)]
-fn choose_fills_no_server_while_others_have_room(#[case] entries: usize, #[case] share: f64) {
+fn choose_fills_no_server_while_others_have_free_slots(#[case] entries: usize, #[case] share: f64) {
     let mut world = World::uneven(entries, true);
     let rate = world.rate(share);
     world.run(1500.0, rate);
     world.run(1500.0, rate);
-    let most = world.most.iter().max().expect("servers");
+    let most = world.max_in_flight.iter().max().expect("servers");
     assert!(*most <= SLOTS, "{most} calls at one server");
 }
 
@@ -216,7 +223,7 @@
         let rate = world.rate(0.8);
         world.run(1500.0, rate);
         world.run(1500.0, rate);
-        world.most.iter().copied().max().expect("servers")
+        world.max_in_flight.iter().copied().max().expect("servers")
     };
     let (by_time, by_load) = (most(true), most(false));
     assert!(by_time < by_load, "{by_time} calls, {by_load} by load");
@@ -224,15 +231,15 @@
 
 /// Calls of 35 ms, of which each server gets 50 a second.
 #[test]
-fn choose_leaves_a_spell_and_comes_back() {
+fn choose_avoids_a_slowdown_and_comes_back() {
     let mut world = World::new(1, vec![35.0; 20], true);
     world.run(4000.0, 1000.0);
     let before = world.share(|n| n == 3);
-    world.times[3] *= 2.5;
+    world.times_ms[3] *= 2.5;
     world.run(100.0, 1000.0);
     world.run(500.0, 1000.0);
     let during = world.share(|n| n == 3);
-    world.times[3] /= 2.5;
+    world.times_ms[3] /= 2.5;
     world.run(1000.0, 1000.0);
     world.run(1000.0, 1000.0);
     let after = world.share(|n| n == 3);
@@ -246,11 +253,11 @@
 fn update_gives_a_new_server_its_share(#[case] time: f64, #[case] part: f64) {
     let mut world = World::uneven(24, true);
     let rate = world.rate(0.04);
-    let all = 0..world.times.len();
+    let all = 0..world.times_ms.len();
     world.run(5000.0, rate);
-    world.times.push(time);
+    world.times_ms.push(time);
     world.calls.push(0);
-    world.most.push(0);
+    world.max_in_flight.push(0);
     for table in &mut world.entries {
         table.update(all.clone().chain([30]).map(target).collect());
     }
@@ -261,33 +268,36 @@
 }
 
 #[test]
-fn choose_loses_nothing_to_a_leaving_server() {
+fn choose_skips_a_leaving_server() {
     let mut table = table(3, true);
     let now = Instant::now();
-    table.took(
+    table.record_time(
         now,
         instance(1),
         kind(2),
-        Took::Answered(Duration::from_millis(9)),
+        CallTime::Answered(Duration::from_millis(9)),
     );
     let mut targets: Vec<Target> = (0..3).map(target).collect();
     targets[1].state = TargetState::Leaving;
     table.update(targets);
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..100 {
-        let picked = table.choose(now, WANT, &mut rng);
+        let picked = table.choose(now, NEEDS, &mut rng);
         assert_ne!(picked, Pick::Target(instance(1)));
     }
 }
 
 /// Returns the pace of each target.
-fn paces(table: &Table, now: Instant) -> Vec<f64> {
-    table.targets().map(|t| t.pace().ratio(now)).collect()
+fn ratios(table: &Table, now: Instant) -> Vec<f64> {
+    table
+        .targets()
+        .map(|t| t.latency_ratio().ratio(now))
+        .collect()
 }
 
 /// One server happens to get the long calls, another the short ones.
 #[test]
-fn took_tells_long_calls_from_slow_servers() {
+fn record_time_separates_long_calls_from_slow_servers() {
     let mut table = table(4, true);
     let mut now = Instant::now();
     let (short, long) = (kind(0), kind(1));
@@ -300,74 +310,74 @@
             _ => turn % 3 == 0,
         };
         let (kind, ms) = if is_long { (long, 200) } else { (short, 20) };
-        let took = Took::Answered(Duration::from_millis(ms));
-        table.took(now, instance(at), kind, took);
+        let took = CallTime::Answered(Duration::from_millis(ms));
+        table.record_time(now, instance(at), kind, took);
     }
-    for ratio in paces(&table, now) {
-        assert!((0.8..1.25).contains(&ratio), "{:?}", paces(&table, now));
+    for ratio in ratios(&table, now) {
+        assert!((0.8..1.25).contains(&ratio), "{:?}", ratios(&table, now));
     }
 }
 
 /// One server fails its calls within a millisecond: no sign of speed.
 #[test]
-fn took_learns_nothing_from_fast_failures() {
+fn record_time_ignores_fast_failures() {
     let mut table = table(4, true);
     let mut now = Instant::now();
     for turn in 0..400_usize {
         now += Duration::from_millis(5);
         let took = match turn % 4 {
-            0 => Took::GivenUp(Duration::from_millis(1)),
-            _ => Took::Answered(Duration::from_millis(100)),
+            0 => CallTime::Unanswered(Duration::from_millis(1)),
+            _ => CallTime::Answered(Duration::from_millis(100)),
         };
-        table.took(now, instance(turn % 4), kind(2), took);
+        table.record_time(now, instance(turn % 4), kind(2), took);
     }
-    assert!(paces(&table, now)[0] >= 1.0, "{:?}", paces(&table, now));
+    assert!(ratios(&table, now)[0] >= 1.0, "{:?}", ratios(&table, now));
 }
 
 /// One server is so slow that callers give up before it answers.
 #[test]
-fn took_learns_from_calls_that_were_given_up() {
+fn record_time_learns_from_unanswered_calls() {
     let mut table = table(4, true);
     let mut now = Instant::now();
     for turn in 0..400_usize {
         now += Duration::from_millis(5);
         let took = match turn % 4 {
-            0 => Took::GivenUp(Duration::from_millis(180)),
-            _ => Took::Answered(Duration::from_millis(100)),
+            0 => CallTime::Unanswered(Duration::from_millis(180)),
+            _ => CallTime::Answered(Duration::from_millis(100)),
         };
-        table.took(now, instance(turn % 4), kind(2), took);
+        table.record_time(now, instance(turn % 4), kind(2), took);
     }
-    assert!(paces(&table, now)[0] > 1.5, "{:?}", paces(&table, now));
+    assert!(ratios(&table, now)[0] > 1.5, "{:?}", ratios(&table, now));
 }
 
 /// A server that was slow is given calls again when its news are old.
 #[test]
-fn ratio_fades_to_the_mean() {
+fn ratio_decays_to_the_mean() {
     let mut table = table(2, true);
     let mut now = Instant::now();
     for turn in 0..200_usize {
         now += Duration::from_millis(50);
         let ms = if turn % 2 == 0 { 200 } else { 100 };
-        let took = Took::Answered(Duration::from_millis(ms));
-        table.took(now, instance(turn % 2), kind(2), took);
+        let took = CallTime::Answered(Duration::from_millis(ms));
+        table.record_time(now, instance(turn % 2), kind(2), took);
     }
-    let slow = paces(&table, now)[0];
-    let later = paces(&table, now + Duration::from_secs(30))[0];
+    let slow = ratios(&table, now)[0];
+    let later = ratios(&table, now + Duration::from_secs(30))[0];
     assert!(slow > 1.25, "{slow}");
     assert!(later < 1.1, "{later}, {slow} before");
 }
 
 /// Without the setting times are not looked at, and choices are as they were.
 #[test]
-fn choose_by_load_knows_no_time() {
-    let (mut told, mut plain) = (table(8, false), Table::new(centre()));
+fn choose_by_load_ignores_times() {
+    let (mut timed, mut plain) = (table(8, false), Table::new(centre()));
     plain.update((0..8).map(target).collect());
     let (mut one, mut other) = (StdRng::seed_from_u64(5), StdRng::seed_from_u64(5));
     let mut now = Instant::now();
     for turn in 0..1000_u32 {
         now += Duration::from_millis(3);
-        let picked = told.choose(now, WANT, &mut one);
-        assert_eq!(picked, plain.choose(now, WANT, &mut other));
+        let picked = timed.choose(now, NEEDS, &mut one);
+        assert_eq!(picked, plain.choose(now, NEEDS, &mut other));
         let Pick::Target(at) = picked else {
             panic!("no target");
         };
@@ -376,12 +386,12 @@
             faults: Percent::new(0),
             ..GuardNews::default()
         };
-        told.report(now, at, Report::Heard(news));
-        plain.report(now, at, Report::Heard(news));
+        timed.report(now, at, AttemptReport::Responded(news));
+        plain.report(now, at, AttemptReport::Responded(news));
         let time = Duration::from_millis(u64::from(at.address.port()) * 50);
-        told.took(now, at, kind(2), Took::Answered(time));
+        timed.record_time(now, at, kind(2), CallTime::Answered(time));
     }
-    assert!(paces(&told, now).iter().all(|ratio| *ratio == 1.0));
+    assert!(ratios(&timed, now).iter().all(|ratio| *ratio == 1.0));
 }
 
 /// Returns the example with two routes, one of which ends requests early.
@@ -409,7 +419,7 @@
 #[case::time(Balance::Time, 1500, true)]
 #[case::auto_without(Balance::Auto, 1000, false)]
 #[case::auto_with(Balance::Auto, 999, true)]
-fn balance_acts_where_a_late_answer_is_cut_off(
+fn balance_auto_compares_time_where_requests_end_early(
     #[case] balance: Balance,
     #[case] timeout: u64,
     #[case] by_time: bool,
@@ -445,7 +455,7 @@
 #[case::clearly_slower(50, 25, 0.6, 1.0)]
 #[case::a_little_slower(30, 25, 0.0, 0.2)]
 #[case::faster(25, 60, 0.0, 0.05)]
-fn choose_goes_far_for_clearly_less_time(
+fn choose_goes_to_other_centre_for_clearly_less_time(
     #[case] near: u64,
     #[case] far: u64,
     #[case] least: f64,
@@ -463,17 +473,17 @@
     let mut calls = [0, 0];
     for turn in 0..4000 {
         now += Duration::from_millis(2);
-        let Pick::Target(at) = table.choose(now, WANT, &mut rng) else {
+        let Pick::Target(at) = table.choose(now, NEEDS, &mut rng) else {
             panic!("no target");
         };
         let news = GuardNews {
             load: SLOTS / 2,
             ..GuardNews::default()
         };
-        table.report(now, at, Report::Heard(news));
+        table.report(now, at, AttemptReport::Responded(news));
         let server = usize::from(at.address.port());
         let time = Duration::from_millis([near, far][server]);
-        table.took(now, at, kind(2), Took::Answered(time));
+        table.record_time(now, at, kind(2), CallTime::Answered(time));
         calls[server] += u32::from(turn >= 2000);
     }
     let share = f64::from(calls[1]) / 2000.0;
