--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -10,7 +10,7 @@
     Admission, CallToken, Decision, Outcome, QueuedCall, Settings,
 };
 use bramleymount::policy::retry::RetryAccount;
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -55,13 +55,13 @@
         let mut account = RetryAccount::new(Retries::new(3));
         let loan = account.grant();
         let table = &mut tables[call as usize % SERVICES];
-        let want = Want {
+        let want = CallNeeds {
             level: priority.level(),
             protected: false,
             avoid: None,
         };
         if let Pick::Target(target) = table.choose(now, want, &mut rng) {
-            table.report(now, target, Report::Heard(GuardNews::default()));
+            table.report(now, target, AttemptReport::Responded(GuardNews::default()));
         }
         let token = CallToken(call);
         let deadline = now + std::time::Duration::from_secs(1);
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -21,7 +21,7 @@
 use bramleymount::policy::retry::{
     FailedAttempt, RepeatSafety, RetryAccount, RetryDecision, RetryGrant, RetryRatio, decide_retry,
 };
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
