--- a/examples/demo/scenario.rs
+++ b/examples/demo/scenario.rs
@@ -95,7 +95,7 @@
             Event::Slow => slow(site, 1),
             Event::Drain => {
                 if let Some(server) = archive(site) {
-                    server.daemon.guard().announce(false);
+                    server.daemon.guard().renew_lease(false);
                 }
             }
             Event::Cut => site.network.heal(Zone::new(1), Zone::new(2)),
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -163,12 +163,12 @@
         };
         let backend = BackendServer::start(config.backend, callers, slots as usize, behaviour)?;
         let daemon = Daemon::start_on(config, Arc::clone(&self.platform) as _).await?;
-        daemon.guard().announce(false);
+        daemon.guard().renew_lease(false);
         let guard = Arc::clone(daemon.guard());
         let renewing = tokio::spawn(async move {
             loop {
                 tokio::time::sleep(RENEW).await;
-                guard.renew();
+                guard.renew_unless_draining();
             }
         });
         self.servers.push(Server {
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -5,7 +5,7 @@
 use super::again::MAX_DETOURS;
 use super::forward::Forward;
 use crate::call::{Attempt, Planned, Reason, Refusal};
-use crate::guard::held;
+use crate::guard::refuse_quarantined;
 use crate::model::Instance;
 use crate::policy::admission::Shed;
 use crate::policy::crash::{Standing, Suspect};
@@ -23,7 +23,7 @@
             return Err(attempt.refuse(Reason::Shed(Shed::Deadline), ""));
         }
         if let Some(Standing::Held(left)) = self.standing() {
-            return Err(held(attempt, left));
+            return Err(refuse_quarantined(attempt, left));
         }
         if let Some(once) = &head.once {
             // No other instance may start it.
--- a/src/guard/announced.rs
+++ b/src/guard/announcement.rs
@@ -16,63 +16,63 @@
 
     /// Takes an announcement or renewal of the backend server; returns whether
     /// it had been away.
-    pub fn announce(&self, cold: bool) -> bool {
+    pub fn renew_lease(&self, cold: bool) -> bool {
         let first = self.lease.lock().renew(Instant::now());
         if first {
             self.shared.announced.notify_one();
         }
         if first && cold {
-            self.gate.restart(self.slots());
+            self.gate.reopen_cold(self.slots());
         } else if first {
-            self.gate.rejoin();
+            self.gate.reopen();
         }
         first
     }
 
     /// Takes an announcement of one run of the backend server, which may come
     /// late or out of order.
-    pub fn hear(&self, news: &Announcement) -> Presented {
-        let change = self.presence.lock().announce(news);
-        if change != Presented::Renewed {
+    pub fn receive_announcement(&self, announcement: &Announcement) -> Presented {
+        let effect = self.presence.lock().announce(announcement);
+        if effect != Presented::Renewed {
             self.shared.announced.notify_one();
         }
-        match change {
+        match effect {
             Presented::Old => {}
             Presented::Leaving => self.drain(),
             // What an operator has drained is not opened by a renewal.
             Presented::Renewed if self.lease_state() == LeaseState::Leaving => {}
-            Presented::Arrived => self.arrived(news),
+            Presented::Arrived => self.start_run(announcement),
             Presented::Stays | Presented::Renewed => {
-                self.take_slots(news.slots);
+                self.set_announced_slots(announcement.slots);
                 if !self.stopping.load(Ordering::Relaxed) {
-                    self.announce(news.cold);
+                    self.renew_lease(announcement.cold);
                 }
             }
         }
-        change
+        effect
     }
 
     /// Takes a new run of the backend server, of which nothing is known that
     /// was learned of the run before, also if its lease has not ended.
-    fn arrived(&self, news: &Announcement) {
-        self.take_slots(news.slots);
+    fn start_run(&self, announcement: &Announcement) {
+        self.set_announced_slots(announcement.slots);
         if self.stopping.load(Ordering::Relaxed) {
             return;
         }
-        self.gate.forget(self.slots());
-        self.announce(news.cold);
-        if news.cold {
-            self.gate.restart(self.slots());
+        self.gate.reset(self.slots());
+        self.renew_lease(announcement.cold);
+        if announcement.cold {
+            self.gate.reopen_cold(self.slots());
         }
     }
 
-    fn take_slots(&self, slots: Slots) {
-        self.announced.lock().replace(slots);
+    fn set_announced_slots(&self, slots: Slots) {
+        self.announced_slots.lock().replace(slots);
         self.gate.reload(self.slots(), self.protected());
     }
 
     /// Takes note that a run of the backend server has ended or is about to.
-    pub fn depart(&self, server: &ServerId, born: Option<Born>) {
+    pub fn record_goodbye(&self, server: &ServerId, born: Option<Born>) {
         if self.presence.lock().depart(server, born) {
             self.drain();
             self.shared.announced.notify_one();
@@ -85,13 +85,13 @@
     }
 
     /// Returns the slots that the backend server announced.
-    pub fn announced(&self) -> Option<Slots> {
-        *self.announced.lock()
+    pub fn announced_slots(&self) -> Option<Slots> {
+        *self.announced_slots.lock()
     }
 
-    pub(super) fn displaced(&self, meant: Option<&ServerId>, found: Option<&ServerId>) {
-        if let Some(meant) = meant {
-            self.presence.lock().displaced(meant, found);
+    pub(super) fn record_mismatch(&self, addressed: Option<&ServerId>, found: Option<&ServerId>) {
+        if let Some(addressed) = addressed {
+            self.presence.lock().displaced(addressed, found);
             *self.lease.lock() = Lease::absent();
         }
     }
@@ -103,7 +103,7 @@
     /// its lease lapsed, up to ten seconds, it drew every call only to refuse
     /// it. The estate leaves it out in a tenth of a second so
     /// (`tests/crashed_server.rs`).
-    pub(super) fn ended(&self, server: Option<&ServerId>) {
+    pub(super) fn record_run_end(&self, server: Option<&ServerId>) {
         if self.server().as_ref() != server || self.lease_state() != LeaseState::Serving {
             return;
         }
@@ -119,7 +119,7 @@
 
     /// Renews the announcement of a backend server that has not been told to
     /// leave.
-    pub fn renew(&self) {
+    pub fn renew_unless_draining(&self) {
         let mut lease = self.lease.lock();
         if lease.state(Instant::now()) != LeaseState::Leaving {
             lease.renew(Instant::now());
@@ -129,6 +129,6 @@
     /// Refuses new calls; those in flight go on.
     pub fn drain(&self) {
         self.lease.lock().drain();
-        self.gate.leave();
+        self.gate.close();
     }
 }
--- a/src/guard/backend.rs
+++ b/src/guard/backend.rs
@@ -19,14 +19,14 @@
 type RequestBody = UnsyncBoxBody<Bytes, Cut>;
 
 /// Idle connections that are kept to the backend server.
-const MAX_IDLE: usize = 256;
+const MAX_IDLE_CONNECTIONS: usize = 256;
 /// How long a connection may be idle.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long connecting on loopback may take.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest time in which a streamed body may make no progress.
-const PROGRESS: Duration = Duration::from_secs(10);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How the backend server failed to answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,13 +34,13 @@
     /// No connection could be made; it has seen nothing.
     Connect(Box<str>),
     /// Nothing listens at its address; it has seen nothing.
-    Gone(Box<str>),
+    NoListener(Box<str>),
     /// It closed early, or answered too little.
-    Cut(Box<str>),
+    ConnectionLost(Box<str>),
     /// It crashed while it ran the call.
     Crashed(CrashId),
     /// Its answer was no HTTP, or none to this call.
-    Garbage(Box<str>),
+    InvalidAnswer(Box<str>),
     /// It said itself that it has not run the call, and perhaps when it will.
     NotRun(Option<Duration>),
     /// Another run stands at its address and has not run the call.
@@ -51,8 +51,10 @@
     /// Tells whether it speaks against the backend server that stands there.
     pub(super) const fn is_fault(&self) -> bool {
         match self {
-            Self::Cut(_) | Self::Crashed(_) | Self::Garbage(_) => true,
-            Self::Connect(_) | Self::Gone(_) | Self::NotRun(_) | Self::OtherServer(_) => false,
+            Self::ConnectionLost(_) | Self::Crashed(_) | Self::InvalidAnswer(_) => true,
+            Self::Connect(_) | Self::NoListener(_) | Self::NotRun(_) | Self::OtherServer(_) => {
+                false
+            }
         }
     }
 }
@@ -69,12 +71,12 @@
         let dial = Dial {
             address,
             own: None,
-            timeout: CONNECT,
+            timeout: CONNECT_TIMEOUT,
             unacknowledged: None,
         };
         let keep = Keep {
-            most: MAX_IDLE,
-            idle: IDLE,
+            most: MAX_IDLE_CONNECTIONS,
+            idle: IDLE_TIMEOUT,
         };
         Self {
             connections: Connections::new(dial, keep),
@@ -95,16 +97,19 @@
     ) -> Result<Response<Incoming>, BackendError> {
         let mut request = Request::new(request_body(body));
         *request.method_mut() = head.method.clone();
-        *request.uri_mut() = target(&head.target)?;
+        *request.uri_mut() = request_target(&head.target)?;
         *request.headers_mut() = headers;
-        self.connections.request(request).await.map_err(failed)
+        self.connections
+            .request(request)
+            .await
+            .map_err(backend_error)
     }
 }
 
 impl Backend {
     /// Tells whether nothing listens at its address any more. A connection
     /// that can be made is kept for the next call.
-    pub(super) async fn is_gone(&self) -> bool {
+    pub(super) async fn has_no_listener(&self) -> bool {
         match self.connections.open().await {
             Err(RequestError::Connect(e)) => is_refused(&e),
             Err(RequestError::Lost(_)) | Ok(()) => false,
@@ -113,11 +118,11 @@
 }
 
 /// Makes a target without a host, as servers take it.
-fn target(path: &str) -> Result<Uri, BackendError> {
-    let wrong = || BackendError::Connect("the target is no valid path".into());
+fn request_target(path: &str) -> Result<Uri, BackendError> {
+    let invalid = || BackendError::Connect("the target is no valid path".into());
     let mut parts = Parts::default();
-    parts.path_and_query = Some(PathAndQuery::try_from(path).map_err(|_| wrong())?);
-    Uri::from_parts(parts).map_err(|_| wrong())
+    parts.path_and_query = Some(PathAndQuery::try_from(path).map_err(|_| invalid())?);
+    Uri::from_parts(parts).map_err(|_| invalid())
 }
 
 /// Tells whether nothing listens at the address.
@@ -125,12 +130,14 @@
     error.kind() == ErrorKind::ConnectionRefused
 }
 
-fn failed(error: RequestError) -> BackendError {
+fn backend_error(error: RequestError) -> BackendError {
     match error {
-        RequestError::Connect(e) if is_refused(&e) => BackendError::Gone(e.to_string().into()),
+        RequestError::Connect(e) if is_refused(&e) => {
+            BackendError::NoListener(e.to_string().into())
+        }
         RequestError::Connect(e) => BackendError::Connect(e.to_string().into()),
-        RequestError::Lost(e) if e.is_parse() => BackendError::Garbage(e.to_string().into()),
-        RequestError::Lost(e) => BackendError::Cut(e.to_string().into()),
+        RequestError::Lost(e) if e.is_parse() => BackendError::InvalidAnswer(e.to_string().into()),
+        RequestError::Lost(e) => BackendError::ConnectionLost(e.to_string().into()),
     }
 }
 
@@ -161,7 +168,7 @@
     let known = body.size_hint().exact().unwrap_or_default();
     let mut whole = bytes::BytesMut::with_capacity(usize::try_from(known).unwrap_or_default());
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|e| BackendError::Cut(e.to_string().into()))?;
+        let frame = frame.map_err(|e| BackendError::ConnectionLost(e.to_string().into()))?;
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
         }
@@ -173,15 +180,15 @@
 }
 
 /// Passes the rest of a large body on; returns whether it arrived whole.
-pub(super) async fn pump(
+pub(super) async fn copy_body(
     first: Bytes,
     mut body: Incoming,
     to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>,
 ) -> bool {
-    if !first.is_empty() && !push(to, first).await {
+    if !first.is_empty() && !send_chunk(to, first).await {
         return false;
     }
-    while let Ok(Some(frame)) = tokio::time::timeout(PROGRESS, body.frame()).await {
+    while let Ok(Some(frame)) = tokio::time::timeout(PROGRESS_TIMEOUT, body.frame()).await {
         let Ok(frame) = frame else {
             let _ = to.send(Err(Cut)).await;
             return false;
@@ -189,20 +196,20 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if !data.is_empty() && !push(to, data).await {
+        if !data.is_empty() && !send_chunk(to, data).await {
             return false;
         }
     }
     if !body.is_end_stream() {
         return false;
     }
-    push(to, Bytes::new()).await
+    send_chunk(to, Bytes::new()).await
 }
 
 /// Sends a chunk on, unless the receiver takes none for too long.
-async fn push(to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>, chunk: Bytes) -> bool {
+async fn send_chunk(to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>, chunk: Bytes) -> bool {
     matches!(
-        tokio::time::timeout(PROGRESS, to.send(Ok(chunk))).await,
+        tokio::time::timeout(PROGRESS_TIMEOUT, to.send(Ok(chunk))).await,
         Ok(Ok(()))
     )
 }
@@ -215,7 +222,7 @@
 ) -> Result<Option<Bytes>, BackendError> {
     let mut whole = bytes::BytesMut::from(&first[..]);
     while let Some(frame) = rest.frame().await {
-        let frame = frame.map_err(|e| BackendError::Cut(e.to_string().into()))?;
+        let frame = frame.map_err(|e| BackendError::ConnectionLost(e.to_string().into()))?;
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
         }
--- a/src/guard/crash.rs
+++ b/src/guard/crash.rs
@@ -10,12 +10,12 @@
 
 /// How long the backend server is asked for whether it is still there; on
 /// loopback a port without a listener answers at once.
-const PROBE: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What was last found out about the backend server.
 #[derive(Clone, Copy, Debug)]
-struct Found {
-    at: Instant,
+struct ProbeResult {
+    probed_at: Instant,
     crash: Option<CrashId>,
 }
 
@@ -24,32 +24,35 @@
 /// Of the calls that are cut at one time one looks, and the others take what
 /// it found.
 #[derive(Debug, Default)]
-pub(super) struct Crashes {
-    found: Mutex<(Option<Found>, u64)>,
+pub(super) struct CrashProbe {
+    last: Mutex<(Option<ProbeResult>, u64)>,
 }
 
 impl Guard {
     /// Finds out whether the backend server crashed under a call that was sent
     /// to it at `began` and was cut just now.
-    pub(super) async fn crash_since(&self, began: Instant) -> Option<CrashId> {
-        let cut = Instant::now();
-        let mut state = self.crashes.found.lock().await;
-        let (found, count) = &mut *state;
-        match found {
-            Some(Found {
-                at,
+    pub(super) async fn detect_crash(&self, sent_at: Instant) -> Option<CrashId> {
+        let lost_at = Instant::now();
+        let mut state = self.crash_probe.last.lock().await;
+        let (last, count) = &mut *state;
+        match last {
+            Some(ProbeResult {
+                probed_at,
                 crash: Some(crash),
-            }) if began < *at => return Some(*crash),
-            Some(Found { at, crash: None }) if cut < *at => return None,
+            }) if sent_at < *probed_at => return Some(*crash),
+            Some(ProbeResult {
+                probed_at,
+                crash: None,
+            }) if lost_at < *probed_at => return None,
             _ => {}
         }
-        let at = Instant::now();
-        let gone = tokio::time::timeout(PROBE, self.backend.is_gone()).await;
-        let crash = (gone == Ok(true)).then(|| {
+        let probed_at = Instant::now();
+        let refused = tokio::time::timeout(PROBE_TIMEOUT, self.backend.has_no_listener()).await;
+        let crash = (refused == Ok(true)).then(|| {
             *count += 1;
             CrashId::of(self.shared.instance, self.server().as_ref(), *count)
         });
-        *found = Some(Found { at, crash });
+        *last = Some(ProbeResult { probed_at, crash });
         if let Some(crash) = crash {
             self.log_crash(crash);
         }
--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -17,27 +17,27 @@
 /// Slot time and sheds by workspace, the greatest first.
 pub type Usages = Vec<(Option<WorkspaceId>, Usage)>;
 
-pub(super) struct Inner {
+pub(super) struct GateState {
     pub(super) admission: Admission,
-    waiting: HashMap<Token, oneshot::Sender<Result<(), Shed>>>,
-    next: u64,
+    waiters: HashMap<Token, oneshot::Sender<Result<(), Shed>>>,
+    next_token: u64,
     /// Whether a task lets calls start that wait for the server's rate.
     pub(super) pacing: bool,
 }
 
 /// Lets calls through to the backend server in the order of admission.
 pub struct Gate {
-    pub(super) inner: Mutex<Inner>,
+    pub(super) state: Mutex<GateState>,
 }
 
 impl Gate {
     /// Makes the gate of a backend server.
     pub fn new(settings: Settings) -> Arc<Self> {
         Arc::new(Self {
-            inner: Mutex::new(Inner {
+            state: Mutex::new(GateState {
                 admission: Admission::new(Instant::now(), settings),
-                waiting: HashMap::new(),
-                next: 0,
+                waiters: HashMap::new(),
+                next_token: 0,
                 pacing: false,
             }),
         })
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// Returns why the call is shed; it has not been started then.
-    pub async fn enter(self: &Arc<Self>, head: &CallHead) -> Result<Pass, Shed> {
+    pub async fn acquire_slot(self: &Arc<Self>, head: &CallHead) -> Result<SlotPermit, Shed> {
         let result = self.admit(head).await;
         match result {
             // It is sent to another server.
@@ -59,12 +59,12 @@
         result
     }
 
-    async fn admit(self: &Arc<Self>, head: &CallHead) -> Result<Pass, Shed> {
+    async fn admit(self: &Arc<Self>, head: &CallHead) -> Result<SlotPermit, Shed> {
         let now = Instant::now();
         let (decision, token, waiter) = {
-            let mut inner = self.inner.lock();
-            inner.next += 1;
-            let token = Token(inner.next);
+            let mut state = self.state.lock();
+            state.next_token += 1;
+            let token = Token(state.next_token);
             let call = Waiting {
                 token,
                 priority: head.priority,
@@ -74,115 +74,115 @@
                 waits: head.waits,
             };
             let (sender, receiver) = oneshot::channel();
-            inner.waiting.insert(token, sender);
-            let (decision, events) = inner.admission.arrive(now, call);
+            state.waiters.insert(token, sender);
+            let (decision, events) = state.admission.arrive(now, call);
             if !matches!(decision, Decision::Wait(_)) {
-                inner.waiting.remove(&token);
+                state.waiters.remove(&token);
             }
-            inner.deliver(events);
+            state.deliver(events);
             (decision, token, receiver)
         };
         match decision {
-            Decision::Start => Ok(self.pass(token)),
+            Decision::Start => Ok(self.permit(token)),
             Decision::Shed(shed) => Err(shed),
             Decision::Wait(until) => {
                 self.pace(now);
-                self.wait(token, until, waiter).await
+                self.wait_for_slot(token, until, waiter).await
             }
         }
     }
 
-    async fn wait(
+    async fn wait_for_slot(
         self: &Arc<Self>,
         token: Token,
         until: Instant,
         mut waiter: oneshot::Receiver<Result<(), Shed>>,
-    ) -> Result<Pass, Shed> {
+    ) -> Result<SlotPermit, Shed> {
         // If the caller goes away the pass is dropped, which takes the call
         // out of the queue or frees the slot that it was given meanwhile.
-        let pass = self.pass(token);
+        let permit = self.permit(token);
         loop {
             match tokio::time::timeout_at(until, &mut waiter).await {
-                Ok(Ok(Ok(()))) => return Ok(pass),
+                Ok(Ok(Ok(()))) => return Ok(permit),
                 Ok(Ok(Err(shed))) => return Err(shed),
                 Ok(Err(_)) => return Err(Shed::Cancelled),
-                Err(_) => self.with(|admission| admission.expire(Instant::now())),
+                Err(_) => self.update(|admission| admission.expire(Instant::now())),
             }
         }
     }
 
-    fn pass(self: &Arc<Self>, token: Token) -> Pass {
-        Pass {
+    fn permit(self: &Arc<Self>, token: Token) -> SlotPermit {
+        SlotPermit {
             gate: Arc::clone(self),
             token,
             outcome: Outcome::Failed,
         }
     }
 
-    pub(super) fn with(&self, change: impl FnOnce(&mut Admission) -> Vec<Event>) {
-        let mut inner = self.inner.lock();
-        let events = change(&mut inner.admission);
-        inner.deliver(events);
+    pub(super) fn update(&self, update: impl FnOnce(&mut Admission) -> Vec<Event>) {
+        let mut state = self.state.lock();
+        let events = update(&mut state.admission);
+        state.deliver(events);
     }
 
     /// Refuses all new calls from now on and sheds those that wait.
-    pub fn leave(&self) {
-        self.with(Admission::leave);
+    pub fn close(&self) {
+        self.update(Admission::leave);
     }
 
     /// Takes calls again, for a backend server that has started anew.
-    pub fn restart(&self, slots: Slots) {
-        self.inner.lock().admission.restart(slots);
+    pub fn reopen_cold(&self, slots: Slots) {
+        self.state.lock().admission.restart(slots);
     }
 
     /// Forgets what was learned of the backend server's last run.
-    pub fn forget(&self, slots: Slots) {
-        self.inner.lock().admission.forget(slots);
+    pub fn reset(&self, slots: Slots) {
+        self.state.lock().admission.forget(slots);
     }
 
     /// Takes calls again, for a backend server that has been running.
-    pub fn rejoin(&self) {
-        self.inner.lock().admission.rejoin();
+    pub fn reopen(&self) {
+        self.state.lock().admission.rejoin();
     }
 
     /// Takes changed rules.
     pub fn reload(&self, slots: Slots, protected: Option<ClassRank>) {
-        self.inner.lock().admission.reload(slots, protected);
+        self.state.lock().admission.reload(slots, protected);
     }
 
     /// Shares slot time among workspaces by these weights, or no longer.
-    pub fn share(&self, weights: Option<Weights>) {
-        self.inner.lock().admission.share(Instant::now(), weights);
+    pub fn set_weights(&self, weights: Option<Weights>) {
+        self.state.lock().admission.share(Instant::now(), weights);
     }
 
     fn count_shed(&self, workspace: Option<WorkspaceId>) {
-        if let Some(fair) = self.inner.lock().admission.fair() {
+        if let Some(fair) = self.state.lock().admission.fair() {
             fair.spent().shed(workspace);
         }
     }
 
     /// Returns what the workspaces had of the slots, where they share.
     pub fn usages(&self) -> Usages {
-        let mut inner = self.inner.lock();
-        let fair = inner.admission.fair();
+        let mut state = self.state.lock();
+        let fair = state.admission.fair();
         fair.map_or_else(Vec::new, |fair| fair.spent().greatest())
     }
 
     /// Returns the same of the time since it was last asked.
-    pub fn lately(&self) -> Usages {
-        let mut inner = self.inner.lock();
-        let fair = inner.admission.fair();
+    pub fn take_recent_usages(&self) -> Usages {
+        let mut state = self.state.lock();
+        let fair = state.admission.fair();
         fair.map_or_else(Vec::new, |fair| fair.spent().take_lately())
     }
 
     /// Returns what answers carry of this guard.
-    pub fn news(&self) -> GuardNews {
-        self.inner.lock().admission.news(Instant::now())
+    pub fn status(&self) -> GuardNews {
+        self.state.lock().admission.news(Instant::now())
     }
 
     /// Returns when a caller may come back that was refused for `shed`.
     pub fn retry_after(&self, shed: Shed) -> Duration {
-        let admission = &self.inner.lock().admission;
+        let admission = &self.state.lock().admission;
         match shed {
             Shed::Limited => admission.return_after(Instant::now(), &mut rand::rng()),
             _ => admission.retry_after(&mut rand::rng()),
@@ -191,13 +191,13 @@
 
     /// Returns the load, and counts of calls since the last report.
     pub fn report(&self) -> Load {
-        self.inner.lock().admission.report(Instant::now())
+        self.state.lock().admission.report(Instant::now())
     }
 
     /// Returns calls in flight, calls that wait, and the limit.
     pub fn load(&self) -> (usize, usize, usize) {
-        let inner = self.inner.lock();
-        let admission = &inner.admission;
+        let state = self.state.lock();
+        let admission = &state.admission;
         (
             admission.in_flight(),
             admission.waiting(),
@@ -206,14 +206,14 @@
     }
 }
 
-impl Inner {
+impl GateState {
     pub(super) fn deliver(&mut self, events: Vec<Event>) {
         for event in events {
             let (token, result) = match event {
                 Event::Start(token) => (token, Ok(())),
                 Event::Shed(token, shed) => (token, Err(shed)),
             };
-            if let Some(waiter) = self.waiting.remove(&token) {
+            if let Some(waiter) = self.waiters.remove(&token) {
                 let _ = waiter.send(result);
             }
         }
@@ -221,40 +221,40 @@
 }
 
 /// Leave to run one call; the slot is free again when it is dropped.
-pub struct Pass {
+pub struct SlotPermit {
     gate: Arc<Gate>,
     token: Token,
     outcome: Outcome,
 }
 
-impl Pass {
+impl SlotPermit {
     /// Notes how the call ended, for the limit.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
     /// Notes whether the backend server failed the call by itself.
-    pub fn judge(&self, faulty: bool) {
-        self.gate.inner.lock().admission.judge(faulty);
+    pub fn record_fault(&self, faulty: bool) {
+        self.gate.state.lock().admission.judge(faulty);
     }
 
     /// Notes what the call met further down its chain.
-    pub fn met_below(&self, met: &[Met], answered: bool) {
-        let mut inner = self.gate.inner.lock();
-        inner
+    pub fn record_downstream(&self, met: &[Met], answered: bool) {
+        let mut state = self.gate.state.lock();
+        state
             .admission
             .met_below(Instant::now(), self.token, met, answered);
     }
 }
 
-impl Drop for Pass {
+impl Drop for SlotPermit {
     fn drop(&mut self) {
-        let mut inner = self.gate.inner.lock();
-        inner.waiting.remove(&self.token);
-        inner.admission.cancel(self.token);
-        let events = inner
+        let mut state = self.gate.state.lock();
+        state.waiters.remove(&self.token);
+        state.admission.cancel(self.token);
+        let events = state
             .admission
             .finish(Instant::now(), self.token, self.outcome);
-        inner.deliver(events);
+        state.deliver(events);
     }
 }
--- a/src/guard/lease.rs
+++ b/src/guard/lease.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// How long an announcement holds.
-const LEASE: Duration = Duration::from_secs(10);
+const LEASE_DURATION: Duration = Duration::from_secs(10);
 
 /// Whether the backend server takes calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 /// The lease that the backend server holds by announcing itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
     leaving: bool,
 }
 
@@ -35,7 +35,7 @@
     /// Makes the lease of a backend server that has not announced itself.
     pub const fn absent() -> Self {
         Self {
-            until: None,
+            expires_at: None,
             leaving: false,
         }
     }
@@ -43,7 +43,7 @@
     /// Takes an announcement or a renewal; returns whether it is the first.
     pub fn renew(&mut self, now: Instant) -> bool {
         let first = self.state(now) != LeaseState::Serving;
-        self.until = Some(now + LEASE);
+        self.expires_at = Some(now + LEASE_DURATION);
         self.leaving = false;
         first
     }
@@ -55,9 +55,9 @@
 
     /// Returns the state now.
     pub fn state(&self, now: Instant) -> LeaseState {
-        match self.until {
+        match self.expires_at {
             _ if self.leaving => LeaseState::Leaving,
-            Some(until) if now < until => LeaseState::Serving,
+            Some(expires_at) if now < expires_at => LeaseState::Serving,
             _ => LeaseState::Absent,
         }
     }
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,23 +1,23 @@
 //! The guard: stands before the one backend server of its VM.
 
-mod announced;
-mod answer;
-mod ask;
+mod announcement;
 mod backend;
 mod crash;
 mod gate;
 mod lease;
 mod notice;
-mod once;
-mod paced;
+mod once_calls;
+mod pacing;
+mod reply;
 mod run_once;
+mod run_permit;
 mod serve;
-mod trial;
+mod server_request;
 mod usage;
 
 pub use backend::Backend;
-pub use gate::{Gate, Pass, Usages};
+pub use gate::{Gate, SlotPermit, Usages};
 pub use lease::{Lease, LeaseState};
-pub use once::{OnceCalls, body_hash};
+pub use once_calls::{OnceCalls, body_hash};
+pub(crate) use run_permit::refuse_quarantined;
 pub use serve::Guard;
-pub(crate) use trial::held;
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -14,44 +14,44 @@
 
     /// Takes what an answer to a call says that was sent at `sent`; what it
     /// leaves out counts if it is `in_order`.
-    pub(super) fn hear_notice(&self, sent: Instant, notice: Notice, in_order: bool) {
+    pub(super) fn record_notice(&self, sent_at: Instant, notice: Notice, in_order: bool) {
         if notice.leaving
             && let Some(run) = self.run()
         {
-            self.leave_for_good(run);
+            self.record_leaving(run);
         }
         match notice.rate {
             NamedRate::None if !in_order => return,
-            NamedRate::Unreadable => self.explain("its rate is no number", None),
+            NamedRate::Unreadable => self.log_notice("its rate is no number", None),
             NamedRate::None | NamedRate::Some(_) => {}
         }
         let before = self.gate.rate();
-        if self.gate.hear_rate(sent, notice.rate) {
+        if self.gate.record_rate(sent_at, notice.rate) {
             self.shared.metrics.count("server_limits");
-            self.explain("takes", before);
+            self.log_notice("takes", before);
         }
     }
 
     /// Takes what an entry was told of the backend server before.
-    pub(super) fn take_told(&self, told: Told) {
-        if self.run() != Some(told.run) {
+    pub(super) fn apply_relayed_notice(&self, notice: Told) {
+        if self.run() != Some(notice.run) {
             return;
         }
-        if told.leaving {
-            self.leave_for_good(told.run);
+        if notice.leaving {
+            self.record_leaving(notice.run);
         }
-        if let Some(rate) = told.rate
+        if let Some(rate) = notice.rate
             && self.gate.adopt_rate(rate)
         {
-            self.explain("takes, as an entry was told", None);
+            self.log_notice("takes, as an entry was told", None);
         }
     }
 
     /// Returns what this guard tells of itself and of its backend server.
-    pub(super) fn news(&self) -> GuardNews {
+    pub(super) fn status(&self) -> GuardNews {
         GuardNews {
-            told: self.told(),
-            ..self.gate.news()
+            told: self.relayed_notice(),
+            ..self.gate.status()
         }
     }
 
@@ -59,14 +59,14 @@
     pub(super) fn detail(&self, shed: Shed) -> String {
         match (shed, self.gate.rate()) {
             (Shed::Limited, Some(rate)) => {
-                let room = self.gate.news().room.as_millis();
+                let room = self.gate.status().room.as_millis();
                 format!("its server takes {rate}, room in {room} ms")
             }
             _ => String::new(),
         }
     }
 
-    fn told(&self) -> Option<Told> {
+    fn relayed_notice(&self) -> Option<Told> {
         let rate = self.gate.rate();
         let presence = self.presence.lock();
         let leaving = presence.leaves();
@@ -78,16 +78,16 @@
     }
 
     /// Sends a run nothing more that said with an answer that it leaves.
-    fn leave_for_good(&self, run: RunId) {
+    fn record_leaving(&self, run: RunId) {
         if !self.presence.lock().leave(run) {
             return;
         }
         self.drain();
         self.shared.announced.notify_one();
-        self.explain("leaves", None);
+        self.log_notice("leaves", None);
     }
 
-    fn explain(&self, what: &str, before: Option<Rate>) {
+    fn log_notice(&self, what: &str, before: Option<Rate>) {
         if !self.shared.decisions.may_log() {
             return;
         }
--- a/src/guard/once.rs
+++ b/src/guard/once_calls.rs
@@ -13,18 +13,21 @@
 
 /// How a run of a once call ended.
 #[derive(Clone, Debug)]
-pub(super) struct Done {
+pub(super) struct RunOutcome {
     pub(super) result: Result<Kept, Refusal>,
     /// Retries that go home to the attempt that started the run.
     pub(super) account: Retries,
 }
 
 /// What to do with an arriving once call.
-pub(super) enum Entered {
+pub(super) enum OnceAction {
     /// Run it and report the end; `resumed` if the key came before.
-    Run { resumed: bool, end: Ending },
+    Run {
+        resumed: bool,
+        outcome: OutcomeReceiver,
+    },
     /// Wait for the run that is under way.
-    Attach(Ending),
+    Attach(OutcomeReceiver),
     /// Give this answer.
     Answer(Kept),
     /// Refuse it.
@@ -32,23 +35,23 @@
 }
 
 /// Receives the end of a run.
-pub(super) type Ending = watch::Receiver<Option<Done>>;
+pub(super) type OutcomeReceiver = watch::Receiver<Option<RunOutcome>>;
 
-struct Inner {
+struct OnceState {
     ledger: Ledger,
-    running: HashMap<OnceKey, watch::Sender<Option<Done>>>,
+    running: HashMap<OnceKey, watch::Sender<Option<RunOutcome>>>,
 }
 
 /// The ledger with the runs under way.
 pub struct OnceCalls {
-    inner: Mutex<Inner>,
+    state: Mutex<OnceState>,
 }
 
 impl OnceCalls {
     /// Makes an empty ledger with bounds.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
-            inner: Mutex::new(Inner {
+            state: Mutex::new(OnceState {
                 ledger: Ledger::new(limits),
                 running: HashMap::new(),
             }),
@@ -57,71 +60,71 @@
 
     /// Takes changed bounds.
     pub fn set_limits(&self, limits: LedgerLimits) {
-        self.inner.lock().ledger.set_limits(limits);
+        self.state.lock().ledger.set_limits(limits);
     }
 
-    pub(super) fn enter(&self, now: MintTime, key: &OnceKey, hash: u64) -> Entered {
-        let mut inner = self.inner.lock();
-        let begin = inner.ledger.begin(now, key, hash);
+    pub(super) fn begin(&self, now: MintTime, key: &OnceKey, hash: u64) -> OnceAction {
+        let mut state = self.state.lock();
+        let begin = state.ledger.begin(now, key, hash);
         let resumed = begin == Begin::Resume;
         match begin {
             Begin::Start | Begin::Resume => {
-                let (sender, end) = watch::channel(None);
-                inner.running.insert(key.clone(), sender);
-                Entered::Run { resumed, end }
+                let (sender, outcome) = watch::channel(None);
+                state.running.insert(key.clone(), sender);
+                OnceAction::Run { resumed, outcome }
             }
-            Begin::Attach => match inner.running.get(key) {
-                Some(sender) => Entered::Attach(sender.subscribe()),
-                None => Entered::Refuse(Refuse::OutcomeLost),
+            Begin::Attach => match state.running.get(key) {
+                Some(sender) => OnceAction::Attach(sender.subscribe()),
+                None => OnceAction::Refuse(Refuse::OutcomeLost),
             },
-            Begin::Answer(kept) => Entered::Answer(kept),
-            Begin::Refuse(refuse) => Entered::Refuse(refuse),
+            Begin::Answer(kept) => OnceAction::Answer(kept),
+            Begin::Refuse(refuse) => OnceAction::Refuse(refuse),
         }
     }
 
     /// Looks for the outcome of a key without starting anything.
-    pub(super) fn inquire(&self, key: &OnceKey) -> Entered {
-        let inner = self.inner.lock();
-        match inner.ledger.get(key).map(|entry| &entry.state) {
-            Some(State::Running) => match inner.running.get(key) {
-                Some(sender) => Entered::Attach(sender.subscribe()),
-                None => Entered::Refuse(Refuse::OutcomeLost),
+    pub(super) fn inquire(&self, key: &OnceKey) -> OnceAction {
+        let state = self.state.lock();
+        match state.ledger.get(key).map(|entry| &entry.state) {
+            Some(State::Running) => match state.running.get(key) {
+                Some(sender) => OnceAction::Attach(sender.subscribe()),
+                None => OnceAction::Refuse(Refuse::OutcomeLost),
             },
-            Some(State::Done(kept)) if kept.body.is_some() => Entered::Answer(kept.clone()),
-            Some(State::Done(_)) => Entered::Refuse(Refuse::AnswerNotKept),
-            Some(State::Unknown) => Entered::Refuse(Refuse::OutcomeLost),
-            Some(State::Claimed) | None => Entered::Refuse(Refuse::Unseen),
+            Some(State::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
+            Some(State::Done(_)) => OnceAction::Refuse(Refuse::AnswerNotKept),
+            Some(State::Unknown) => OnceAction::Refuse(Refuse::OutcomeLost),
+            Some(State::Claimed) | None => OnceAction::Refuse(Refuse::Unseen),
         }
     }
 
     /// Ends a run.
-    pub(super) fn end(&self, key: &OnceKey, change: Change, done: Done) {
-        let mut inner = self.inner.lock();
-        match (change, &done.result) {
-            (Change::Finish, Ok(kept)) => inner.ledger.finish(key, kept.clone()),
-            (Change::Finish | Change::Lose, _) => inner.ledger.lose(key),
-            (Change::Release, _) => inner.ledger.release(key),
-            (Change::Retract, _) => inner.ledger.retract(key),
+    pub(super) fn finish_run(&self, key: &OnceKey, update: LedgerUpdate, outcome: RunOutcome) {
+        let mut state = self.state.lock();
+        match (update, &outcome.result) {
+            (LedgerUpdate::Finish, Ok(kept)) => state.ledger.finish(key, kept.clone()),
+            (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.lose(key),
+            (LedgerUpdate::Release, _) => state.ledger.release(key),
+            (LedgerUpdate::Retract, _) => state.ledger.retract(key),
         }
-        if let Some(sender) = inner.running.remove(key) {
-            sender.send_replace(Some(done));
+        if let Some(sender) = state.running.remove(key) {
+            sender.send_replace(Some(outcome));
         }
     }
 
     /// Starts no key from now on, for good.
     pub fn stop(&self) {
-        self.inner.lock().ledger.stop();
+        self.state.lock().ledger.stop();
     }
 
     /// Returns the entries and the bound of forgotten keys, for a hand-over.
     pub fn export(&self) -> (Vec<(OnceKey, State, u64)>, MintTime) {
-        let inner = self.inner.lock();
-        let entries = inner
+        let state = self.state.lock();
+        let entries = state
             .ledger
             .entries()
             .map(|(key, entry)| (key.clone(), entry.state.clone(), entry.body_hash))
             .collect();
-        (entries, inner.ledger.forgotten())
+        (entries, state.ledger.forgotten())
     }
 
     /// Takes over the ledger of an instance that stops; `false` if this one
@@ -132,37 +135,37 @@
         entries: Vec<(OnceKey, State, u64)>,
         forgotten: MintTime,
     ) -> bool {
-        let mut inner = self.inner.lock();
-        if inner.ledger.is_stopped() {
+        let mut state = self.state.lock();
+        if state.ledger.is_stopped() {
             return false;
         }
-        inner.ledger.adopt_forgotten(forgotten);
-        for (key, state, hash) in entries {
-            inner.ledger.adopt(now, key, state, hash);
+        state.ledger.adopt_forgotten(forgotten);
+        for (key, entry_state, hash) in entries {
+            state.ledger.adopt(now, key, entry_state, hash);
         }
         true
     }
 
     /// Tells whether a call with `key` can be answered without starting it.
     pub fn has_begun(&self, key: &OnceKey) -> bool {
-        self.inner.lock().ledger.has_begun(key)
+        self.state.lock().ledger.has_begun(key)
     }
 
     /// Returns the number of runs under way, those not yet started included.
     pub fn in_flight(&self) -> usize {
-        self.inner.lock().running.len()
+        self.state.lock().running.len()
     }
 
     /// Returns the number of keys and the bytes that are accounted for.
     pub fn size(&self) -> (usize, usize) {
-        let inner = self.inner.lock();
-        (inner.ledger.len(), inner.ledger.bytes())
+        let state = self.state.lock();
+        (state.ledger.len(), state.ledger.bytes())
     }
 }
 
 /// What the end of a run means for the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Change {
+pub(super) enum LedgerUpdate {
     /// It ran and was answered.
     Finish,
     /// It may have run.
--- a/src/guard/answer.rs
+++ b/src/guard/reply.rs
@@ -4,9 +4,9 @@
 use http::StatusCode;
 use hyper::body::Incoming;
 
-use super::ask::Answered;
-use super::backend::{AnswerBody, BackendError, pump, stream};
-use super::{Guard, Pass};
+use super::backend::{AnswerBody, BackendError, copy_body, stream};
+use super::server_request::ServerAnswer;
+use super::{Guard, SlotPermit};
 use crate::call::{Attempt, Reason, Refusal, Reply, ReplyHead, Sent};
 use crate::model::{GuardNews, Retries};
 use crate::policy::admission::Outcome;
@@ -14,19 +14,19 @@
 use crate::web::{Chunks, Payload};
 
 impl Guard {
-    pub(super) fn give_up(&self, mut refusal: Refusal, held: &HeldCall) -> Refusal {
+    pub(super) fn close_call(&self, mut refusal: Refusal, held: &HeldCall) -> Refusal {
         refusal.account = held.close();
         refusal
     }
 
-    pub(super) fn failed(
+    pub(super) fn refuse_failed(
         &self,
         attempt: Attempt<Sent>,
         error: &BackendError,
         held: &HeldCall,
     ) -> Refusal {
         let refusal = match error {
-            BackendError::Connect(cause) | BackendError::Gone(cause) => attempt
+            BackendError::Connect(cause) | BackendError::NoListener(cause) => attempt
                 .unsent()
                 .refuse(Reason::Unreachable, cause.clone())
                 .of_key(),
@@ -39,23 +39,28 @@
                 let found = found.as_ref().map_or("", |server| server.as_str());
                 attempt.unsent().refuse(Reason::Replaced, found)
             }
-            BackendError::Cut(cause) => attempt.lose(Reason::Cut, cause.clone()),
+            BackendError::ConnectionLost(cause) => attempt.lose(Reason::Cut, cause.clone()),
             BackendError::Crashed(crash) => {
                 let mut refusal = attempt.lose(Reason::Crashed, crash.to_string());
                 refusal.crash = Some(*crash);
                 refusal
             }
-            BackendError::Garbage(cause) => attempt.lose(Reason::Garbage, cause.clone()),
+            BackendError::InvalidAnswer(cause) => attempt.lose(Reason::Garbage, cause.clone()),
         };
         self.shared
             .metrics
             .count_reason("backend_failed", refusal.reason().as_str());
-        self.give_up(refusal, held)
+        self.close_call(refusal, held)
     }
 
     /// Takes note of how a call ended; returns whether calls were made onwards
     /// for it.
-    pub(super) fn note_end(&self, pass: &mut Pass, held: &Held, status: StatusCode) -> bool {
+    pub(super) fn record_end(
+        &self,
+        slot: &mut SlotPermit,
+        held: &Held,
+        status: StatusCode,
+    ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
         let met = held.take_met();
@@ -63,15 +68,15 @@
         let refused = met.iter().any(|met| met.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
             let excused = met.iter().any(|met| met.failed);
-            pass.judge(!answered && !excused);
+            slot.record_fault(!answered && !excused);
         }
-        pass.met_below(&met, answered);
+        slot.record_downstream(&met, answered);
         let outcome = match (refused, answered) {
             (true, false) => Outcome::Failed,
             _ if refused_here => Outcome::Refused,
             _ => Outcome::Answered,
         };
-        pass.ended(outcome);
+        slot.set_outcome(outcome);
         !met.is_empty()
     }
 
@@ -79,45 +84,45 @@
     /// slot until its end.
     pub(super) fn reply(
         &self,
-        answered: Answered,
+        answer: ServerAnswer,
         onward: bool,
-        pass: Pass,
+        slot: SlotPermit,
         held: HeldCall,
     ) -> Reply {
         let mut head = ReplyHead {
-            status: answered.status,
-            headers: answered.headers,
+            status: answer.status,
+            headers: answer.headers,
             account: Retries::new(0),
             news: GuardNews::default(),
             onward,
             kept: false,
         };
-        let body = match answered.body {
+        let body = match answer.body {
             AnswerBody::Whole(bytes) => {
                 head.account = held.close();
-                drop(pass);
+                drop(slot);
                 Payload::Whole(bytes)
             }
             AnswerBody::Large(first, rest) => {
                 head.account = held.close();
-                self.pass_on(answered.length, first, rest, (pass, held))
+                self.forward_body(answer.length, first, rest, (slot, held))
             }
         };
-        head.news = self.news();
+        head.news = self.status();
         Reply { head, body }
     }
 
-    fn pass_on(
+    fn forward_body(
         &self,
         length: Option<u64>,
         first: Bytes,
         rest: Incoming,
-        kept: (Pass, HeldCall),
+        guards: (SlotPermit, HeldCall),
     ) -> Payload {
         let (sender, chunks) = Chunks::channel();
         self.handle.spawn(async move {
-            let _kept = kept;
-            pump(first, rest, &sender).await;
+            let _guards = guards;
+            copy_body(first, rest, &sender).await;
         });
         stream(length, chunks)
     }
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
 
-use super::ask::Answered;
 use super::backend::{AnswerBody, BackendError, read_whole};
-use super::once::{Change, Done, Entered};
+use super::once_calls::{LedgerUpdate, OnceAction, RunOutcome};
+use super::server_request::ServerAnswer;
 use super::{Guard, body_hash};
 use crate::call::{Attempt, CallHead, OnceCall, Planned, Reason, Refusal, Reply, ReplyHead};
 use crate::model::{Instance, OnceKey, Retries};
@@ -20,9 +20,9 @@
 use crate::web::Payload;
 
 /// How long the outcome of a once call is waited for after its deadline.
-const ONCE_WAIT: Duration = Duration::from_secs(30);
+const OUTCOME_GRACE: Duration = Duration::from_secs(30);
 /// Largest answer to a once call, in bytes.
-const MAX_ONCE_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_ONCE_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 impl Guard {
     pub(super) async fn serve_once(
@@ -35,23 +35,24 @@
         let account = head.account;
         let deadline = head.deadline;
         if let Err(refuse) = self.authority(&once.key) {
-            return Err(self.home(attempt.refuse_once(refuse), account));
+            return Err(self.return_retries(attempt.refuse_once(refuse), account));
         }
         let hash = body_hash(&head, &body);
-        let (mut end, started) = match self.once.enter(mint_now(), &once.key, hash) {
-            Entered::Answer(kept) => return Ok(self.kept(kept, account, true)),
-            Entered::Refuse(refuse) => {
-                return Err(self.home(attempt.refuse_once(refuse), account));
+        let (mut outcome, started) = match self.once.begin(mint_now(), &once.key, hash) {
+            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, account, true)),
+            OnceAction::Refuse(refuse) => {
+                return Err(self.return_retries(attempt.refuse_once(refuse), account));
             }
-            Entered::Attach(end) => (end, false),
-            Entered::Run { resumed, end } => {
+            OnceAction::Attach(outcome) => (outcome, false),
+            OnceAction::Run { resumed, outcome } => {
                 let run = Arc::clone(self).run_once(head, once, body, resumed);
                 self.handle.spawn(run);
-                (end, true)
+                (outcome, true)
             }
         };
         let attempt = attempt.send();
-        let waited = tokio::time::timeout_at(deadline, end.wait_for(|done| done.is_some())).await;
+        let waited =
+            tokio::time::timeout_at(deadline, outcome.wait_for(|done| done.is_some())).await;
         let done = match waited {
             Ok(Ok(done)) => done.clone(),
             _ => None,
@@ -62,8 +63,8 @@
         };
         let account = if started { done.account } else { account };
         match done.result {
-            Ok(kept) => Ok(self.kept(kept, account, !started)),
-            Err(refusal) => Err(self.home(refusal, account)),
+            Ok(kept) => Ok(self.stored_reply(kept, account, !started)),
+            Err(refusal) => Err(self.return_retries(refusal, account)),
         }
     }
 
@@ -79,23 +80,26 @@
         wait: Duration,
     ) -> Result<Reply, Refusal> {
         let none = Retries::new(0);
-        let mut end = match self.once.inquire(key) {
-            Entered::Answer(kept) => return Ok(self.kept(kept, none, true)),
-            Entered::Refuse(refuse) => return Err(attempt.refuse_once(refuse)),
-            Entered::Attach(end) | Entered::Run { end, .. } => end,
+        let mut outcome = match self.once.inquire(key) {
+            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, none, true)),
+            OnceAction::Refuse(refuse) => return Err(attempt.refuse_once(refuse)),
+            OnceAction::Attach(outcome) | OnceAction::Run { outcome, .. } => outcome,
         };
         let attempt = attempt.send();
-        let waited = tokio::time::timeout(wait, end.wait_for(|done| done.is_some())).await;
+        let waited = tokio::time::timeout(wait, outcome.wait_for(|done| done.is_some())).await;
         match waited {
             Ok(Ok(done)) => match &*done {
-                Some(done) => done.result.clone().map(|kept| self.kept(kept, none, true)),
+                Some(done) => done
+                    .result
+                    .clone()
+                    .map(|kept| self.stored_reply(kept, none, true)),
                 None => Err(attempt.lose(Reason::Timeout, "")),
             },
             _ => Err(attempt.lose(Reason::Timeout, "the call still runs")),
         }
     }
 
-    fn kept(&self, kept: Kept, account: Retries, again: bool) -> Reply {
+    fn stored_reply(&self, kept: Kept, account: Retries, repeated: bool) -> Reply {
         let mut headers = HeaderMap::new();
         for (name, value) in &kept.headers {
             if let (Ok(name), Ok(value)) = (
@@ -113,8 +117,8 @@
                 account,
                 // Kept answers do not tell, and calls with a key are not judged.
                 onward: false,
-                news: self.news(),
-                kept: again,
+                news: self.status(),
+                kept: repeated,
             },
             body: Payload::Whole(kept.body.unwrap_or_default()),
         }
@@ -130,66 +134,69 @@
         let key = once.key;
         let attempt = Attempt::with_id(head.attempt);
         let account = head.account;
-        let not_started = |refusal: Refusal| Done {
+        let not_started = |refusal: Refusal| RunOutcome {
             result: Err(refusal),
             account,
         };
         if let OnceKey::Opaque(_) = key
             && let Err(lost) = self.claim(&key, resumed).await
         {
-            let mut refusal = attempt.refuse_once(lost.refuse);
+            let mut refusal = attempt.refuse_once(lost.reason);
             if let Some(owner) = lost.owner {
                 refusal.detail = owner.to_string().into();
             }
-            return self.once.end(&key, lost.change, not_started(refusal));
+            return self
+                .once
+                .finish_run(&key, lost.update, not_started(refusal));
         }
-        let _leave = match self.leave_to_run(&head).await {
-            Ok(leave) => leave,
-            Err(barred) => {
-                let done = not_started(barred.refuse(attempt).of_key());
-                return self.once.end(&key, Change::Release, done);
+        let _run_permit = match self.acquire_run_permit(&head).await {
+            Ok(permit) => permit,
+            Err(refused) => {
+                let done = not_started(refused.refuse(attempt).of_key());
+                return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
-        let mut pass = match self.enter(&head).await {
-            Ok(pass) => pass,
+        let mut slot = match self.acquire_slot(&head).await {
+            Ok(slot) => slot,
             Err(shed) => {
                 let done = not_started(attempt.refuse(Reason::Shed(shed), "").of_key());
-                return self.once.end(&key, Change::Release, done);
+                return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
-        if let Err(barred) = self.check_held(&head) {
-            let done = not_started(barred.refuse(attempt).of_key());
-            return self.once.end(&key, Change::Release, done);
+        if let Err(refused) = self.check_not_quarantined(&head) {
+            let done = not_started(refused.refuse(attempt).of_key());
+            return self.once.finish_run(&key, LedgerUpdate::Release, done);
         }
         let held = self.shared.calls.hold(head.call, Held::new(&head));
         let attempt = attempt.send();
-        let limit = head.deadline + ONCE_WAIT;
-        let asked = tokio::time::timeout_at(limit, self.ask_whole(&head, body)).await;
-        let (change, result) = match asked {
-            Err(_) => (Change::Lose, Err(attempt.lose(Reason::Timeout, ""))),
+        let limit = head.deadline + OUTCOME_GRACE;
+        let sent = tokio::time::timeout_at(limit, self.request_whole(&head, body)).await;
+        let (update, result) = match sent {
+            Err(_) => (LedgerUpdate::Lose, Err(attempt.lose(Reason::Timeout, ""))),
             Ok(Err(error)) => {
-                let change = match error {
+                let update = match error {
                     BackendError::Connect(_)
-                    | BackendError::Gone(_)
+                    | BackendError::NoListener(_)
                     | BackendError::NotRun(_)
-                    | BackendError::OtherServer(_) => Change::Release,
-                    BackendError::Cut(_) | BackendError::Crashed(_) | BackendError::Garbage(_) => {
-                        Change::Lose
-                    }
+                    | BackendError::OtherServer(_) => LedgerUpdate::Release,
+                    BackendError::ConnectionLost(_)
+                    | BackendError::Crashed(_)
+                    | BackendError::InvalidAnswer(_) => LedgerUpdate::Lose,
                 };
-                (change, Err(self.failed(attempt, &error, &held)))
+                (update, Err(self.refuse_failed(attempt, &error, &held)))
             }
-            Ok(Ok(answered)) => {
-                self.note_end(&mut pass, &held, answered.status);
-                (Change::Finish, Ok(answered.into_kept()))
+            Ok(Ok(answer)) => {
+                self.record_end(&mut slot, &held, answer.status);
+                (LedgerUpdate::Finish, Ok(answer.into_stored()))
             }
         };
         let account = held.close();
-        self.once.end(&key, change, Done { result, account });
+        self.once
+            .finish_run(&key, update, RunOutcome { result, account });
     }
 
     /// Claims a key that carries no mint time in the table service.
-    async fn claim(&self, key: &OnceKey, resumed: bool) -> Result<(), ClaimLost> {
+    async fn claim(&self, key: &OnceKey, resumed: bool) -> Result<(), ClaimError> {
         let own = self.shared.instance;
         let claim = Claim {
             owner: own,
@@ -198,10 +205,10 @@
         let content = serde_json::to_vec(&claim).unwrap_or_default().into();
         let name = claim_key(self.service(), key);
         let table = self.shared.platform.as_ref();
-        let lost = |refuse, change, owner| {
-            Err(ClaimLost {
-                refuse,
-                change,
+        let lost = |reason, update, owner| {
+            Err(ClaimError {
+                reason,
+                update,
                 owner,
             })
         };
@@ -209,47 +216,51 @@
             Settled::Written(_) => return Ok(()),
             Settled::Lost(row) => row,
             Settled::NotSent(_) | Settled::Unsettled(_) => {
-                return lost(Refuse::NoPlatform, Change::Release, None);
+                return lost(Refuse::NoPlatform, LedgerUpdate::Release, None);
             }
         };
         let found = row.and_then(|row| serde_json::from_slice(&row.content).ok());
         match found.map(|found| judge_claim(found, own, claim.nonce)) {
             Some(ClaimCheck::Won) => Ok(()),
             Some(ClaimCheck::OwnEarlier) if resumed => Ok(()),
-            Some(ClaimCheck::OwnEarlier) => lost(Refuse::Forgotten, Change::Retract, None),
+            Some(ClaimCheck::OwnEarlier) => lost(Refuse::Forgotten, LedgerUpdate::Retract, None),
             Some(ClaimCheck::Other(owner)) => {
-                lost(Refuse::WrongOwner, Change::Retract, Some(owner))
+                lost(Refuse::WrongOwner, LedgerUpdate::Retract, Some(owner))
             }
-            None => lost(Refuse::OutcomeLost, Change::Retract, None),
+            None => lost(Refuse::OutcomeLost, LedgerUpdate::Retract, None),
         }
     }
 
     /// Asks for an answer that is read whole, as the ledger needs it.
-    async fn ask_whole(&self, head: &CallHead, body: Bytes) -> Result<Answered, BackendError> {
-        let answered = self.ask(head, Payload::Whole(body)).await?;
-        let AnswerBody::Large(first, rest) = answered.body else {
-            return Ok(answered);
+    async fn request_whole(
+        &self,
+        head: &CallHead,
+        body: Bytes,
+    ) -> Result<ServerAnswer, BackendError> {
+        let answer = self.request(head, Payload::Whole(body)).await?;
+        let AnswerBody::Large(first, rest) = answer.body else {
+            return Ok(answer);
         };
-        let whole = read_whole(first, rest, MAX_ONCE_ANSWER).await?;
+        let whole = read_whole(first, rest, MAX_ONCE_ANSWER_BYTES).await?;
         let whole = whole.ok_or_else(|| {
-            BackendError::Garbage("the answer to a once call is larger than 4 MiB".into())
+            BackendError::InvalidAnswer("the answer to a once call is larger than 4 MiB".into())
         })?;
-        Ok(Answered {
+        Ok(ServerAnswer {
             body: AnswerBody::Whole(whole),
-            ..answered
+            ..answer
         })
     }
 }
 
 /// A key that this instance could not claim.
-struct ClaimLost {
-    refuse: Refuse,
-    change: Change,
+struct ClaimError {
+    reason: Refuse,
+    update: LedgerUpdate,
     owner: Option<Instance>,
 }
 
-impl Answered {
-    fn into_kept(self) -> Kept {
+impl ServerAnswer {
+    fn into_stored(self) -> Kept {
         let headers = self
             .headers
             .iter()
--- a/src/guard/trial.rs
+++ b/src/guard/run_permit.rs
@@ -16,54 +16,54 @@
 /// next crash leaves so many suspects, which then run one by one; with 60 calls
 /// under way at a crash and three servers left, the last of them waits for two
 /// others.
-const FEW: usize = 8;
+const MAX_LIMITED_SUSPECTS: usize = 8;
 /// How long a suspect waits for its turn, at most; its caller is told that it
 /// has not run then.
-const WAIT: Duration = Duration::from_secs(1);
+const MAX_SUSPECT_WAIT: Duration = Duration::from_secs(1);
 
 /// Leave of suspects to run.
 #[derive(Debug)]
-pub(super) struct Trials {
-    few: Arc<Semaphore>,
-    alone: Arc<Semaphore>,
+pub(super) struct SuspectLimits {
+    limited: Arc<Semaphore>,
+    isolated: Arc<Semaphore>,
 }
 
-impl Default for Trials {
+impl Default for SuspectLimits {
     fn default() -> Self {
         Self {
-            few: Arc::new(Semaphore::new(FEW)),
-            alone: Arc::new(Semaphore::new(1)),
+            limited: Arc::new(Semaphore::new(MAX_LIMITED_SUSPECTS)),
+            isolated: Arc::new(Semaphore::new(1)),
         }
     }
 }
 
 /// Leave to run one call; a suspect's counts until it is dropped.
 #[derive(Debug)]
-pub(super) struct Leave {
+pub(super) struct RunPermit {
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 /// Why a suspect does not run here now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Barred {
+pub(super) enum RunRefusal {
     /// It is known to crash servers, and is held for this long.
-    Held(Duration),
+    Quarantined(Duration),
     /// Others had their turn before it.
     Busy,
 }
 
-impl Barred {
+impl RunRefusal {
     /// Refuses a call for this.
     pub(super) fn refuse(self, attempt: Attempt<Planned>) -> Refusal {
         match self {
-            Self::Held(left) => held(attempt, left),
+            Self::Quarantined(left) => refuse_quarantined(attempt, left),
             Self::Busy => attempt.refuse(Reason::Shed(Shed::Overload), "under way at a crash"),
         }
     }
 }
 
 /// Refuses a call that is held, until that ends.
-pub(crate) fn held(attempt: Attempt<Planned>, left: Duration) -> Refusal {
+pub(crate) fn refuse_quarantined(attempt: Attempt<Planned>, left: Duration) -> Refusal {
     let mut refusal = attempt.refuse(Reason::QueryOfDeath, "servers that ran it crashed");
     refusal.retry_after = Some(left);
     refusal
@@ -71,40 +71,44 @@
 
 impl Guard {
     /// Waits until a call may run beside the suspects that run here.
-    pub(super) async fn leave_to_run(&self, head: &CallHead) -> Result<Leave, Barred> {
-        let end = head.deadline.min(Instant::now() + WAIT);
-        let mut has = Standing::Clear;
+    pub(super) async fn acquire_run_permit(
+        &self,
+        head: &CallHead,
+    ) -> Result<RunPermit, RunRefusal> {
+        let give_up_at = head.deadline.min(Instant::now() + MAX_SUSPECT_WAIT);
+        let mut granted = Standing::Clear;
         let mut permit = None;
         loop {
-            let standing = self.standing(head);
-            let semaphore = match standing {
-                Standing::Held(left) => return Err(Barred::Held(left)),
-                _ if standing == has => return Ok(Leave { _permit: permit }),
-                Standing::Clear => return Ok(Leave { _permit: None }),
-                Standing::Few => &self.trials.few,
-                Standing::Alone => &self.trials.alone,
+            let restriction = self.restriction(head);
+            let semaphore = match restriction {
+                Standing::Held(left) => return Err(RunRefusal::Quarantined(left)),
+                _ if restriction == granted => return Ok(RunPermit { _permit: permit }),
+                Standing::Clear => return Ok(RunPermit { _permit: None }),
+                Standing::Few => &self.suspect_limits.limited,
+                Standing::Alone => &self.suspect_limits.isolated,
             };
             // What it had goes back first: others wait for that.
             drop(permit.take());
-            let turn = tokio::time::timeout_at(end, Arc::clone(semaphore).acquire_owned());
-            permit = turn.await.ok().and_then(Result::ok);
+            let acquired =
+                tokio::time::timeout_at(give_up_at, Arc::clone(semaphore).acquire_owned());
+            permit = acquired.await.ok().and_then(Result::ok);
             if permit.is_none() {
-                return Err(Barred::Busy);
+                return Err(RunRefusal::Busy);
             }
-            has = standing;
+            granted = restriction;
         }
     }
 
     /// Checks, just before a call is sent, that nothing was learned of it while
     /// it waited for a slot.
-    pub(super) fn check_held(&self, head: &CallHead) -> Result<(), Barred> {
-        match self.standing(head) {
-            Standing::Held(left) => Err(Barred::Held(left)),
+    pub(super) fn check_not_quarantined(&self, head: &CallHead) -> Result<(), RunRefusal> {
+        match self.restriction(head) {
+            Standing::Held(left) => Err(RunRefusal::Quarantined(left)),
             Standing::Clear | Standing::Few | Standing::Alone => Ok(()),
         }
     }
 
-    fn standing(&self, head: &CallHead) -> Standing {
+    fn restriction(&self, head: &CallHead) -> Standing {
         let of = |request| self.shared.suspects.standing(request);
         head.fingerprint.map_or(Standing::Clear, of)
     }
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -8,10 +8,10 @@
 use tokio::runtime::Handle;
 
 use super::backend::Backend;
-use super::crash::Crashes;
-use super::trial::Trials;
+use super::crash::CrashProbe;
+use super::run_permit::SuspectLimits;
 use super::usage::weights;
-use super::{Gate, Lease, LeaseState, OnceCalls, Pass};
+use super::{Gate, Lease, LeaseState, OnceCalls, SlotPermit};
 use crate::call::{Attempt, Call, CallHead, OnceCall, Planned, Reason, Refusal, Reply};
 use crate::model::{ClassRank, Depth, Retries, ServiceName, Slots};
 use crate::policy::admission::{Settings, Shed, usable};
@@ -21,7 +21,7 @@
 use crate::web::Payload;
 
 /// Slots of a backend server whose service is not declared yet.
-const UNKNOWN_SLOTS: Slots = Slots::new(1);
+const UNDECLARED_SLOTS: Slots = Slots::new(1);
 
 /// Stands before the one backend server of the VM.
 pub struct Guard {
@@ -31,9 +31,9 @@
     pub(super) once: OnceCalls,
     pub(super) lease: Mutex<Lease>,
     pub(super) presence: Mutex<Presence>,
-    pub(super) announced: Mutex<Option<Slots>>,
-    pub(super) crashes: Crashes,
-    pub(super) trials: Trials,
+    pub(super) announced_slots: Mutex<Option<Slots>>,
+    pub(super) crash_probe: CrashProbe,
+    pub(super) suspect_limits: SuspectLimits,
     pub(super) stopping: AtomicBool,
     pub(super) handle: Handle,
 }
@@ -42,7 +42,7 @@
     /// Makes the guard of a daemon; tasks that outlive a call run on `handle`.
     pub fn new(shared: Arc<Shared>, handle: Handle) -> Arc<Self> {
         let settings = Settings {
-            slots: UNKNOWN_SLOTS,
+            slots: UNDECLARED_SLOTS,
             cold: false,
             protected: None,
         };
@@ -57,9 +57,9 @@
             once: OnceCalls::new(limits),
             lease: Mutex::default(),
             presence: Mutex::default(),
-            announced: Mutex::default(),
-            crashes: Crashes::default(),
-            trials: Trials::default(),
+            announced_slots: Mutex::default(),
+            crash_probe: CrashProbe::default(),
+            suspect_limits: SuspectLimits::default(),
             stopping: AtomicBool::new(false),
             shared,
             handle,
@@ -98,7 +98,7 @@
             .workspaces
             .as_ref()
             .filter(|_| self.shared.config.fair);
-        self.gate.share(sharing.map(weights));
+        self.gate.set_weights(sharing.map(weights));
         self.once.set_limits(LedgerLimits {
             bytes: estate.once.ledger_bytes.get() as usize,
             memory: estate.once.memory.get(),
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn slots(&self) -> Slots {
-        usable(self.announced().unwrap_or_else(|| self.declared()))
+        usable(self.announced_slots().unwrap_or_else(|| self.declared()))
     }
 
     /// Returns the slots by the rules in force.
@@ -123,7 +123,7 @@
                 let service = in_force.estate.services.get(self.service())?;
                 Some(service.slots)
             })
-            .unwrap_or(UNKNOWN_SLOTS)
+            .unwrap_or(UNDECLARED_SLOTS)
     }
 
     /// Serves a call that an entry sent.
@@ -134,11 +134,11 @@
     pub async fn serve(self: &Arc<Self>, call: Call) -> Result<Reply, Refusal> {
         let attempt = Attempt::with_id(call.head.attempt);
         let account = call.head.account;
-        if let Some(told) = call.head.told {
-            self.take_told(told);
+        if let Some(notice) = call.head.told {
+            self.apply_relayed_notice(notice);
         }
         let result = match self.check(&call.head) {
-            Err(reason) => Err(self.home(attempt.refuse(reason, ""), account)),
+            Err(reason) => Err(self.return_retries(attempt.refuse(reason, ""), account)),
             Ok(()) => match (&call.head.once, call.body) {
                 (Some(once), Payload::Whole(body)) => {
                     let once = once.clone();
@@ -147,7 +147,7 @@
                 }
                 (Some(_), Payload::Stream { .. }) => {
                     let detail = "a once call must be sent whole";
-                    Err(self.home(attempt.refuse(Reason::TooLarge, detail), account))
+                    Err(self.return_retries(attempt.refuse(Reason::TooLarge, detail), account))
                 }
                 (None, body) => {
                     let call = Call {
@@ -160,7 +160,7 @@
             },
         };
         result.map_err(|mut refusal| {
-            refusal.news = Some(self.news());
+            refusal.news = Some(self.status());
             if let Reason::Shed(shed) = refusal.reason()
                 && shed.is_overload()
             {
@@ -188,13 +188,13 @@
     }
 
     /// Sends the whole account home with a refusal; nothing of it was used.
-    pub(super) fn home(&self, mut refusal: Refusal, account: Retries) -> Refusal {
+    pub(super) fn return_retries(&self, mut refusal: Refusal, account: Retries) -> Refusal {
         refusal.account = account;
         refusal
     }
 
-    pub(super) async fn enter(&self, head: &CallHead) -> Result<Pass, Shed> {
-        let result = self.gate.enter(head).await;
+    pub(super) async fn acquire_slot(&self, head: &CallHead) -> Result<SlotPermit, Shed> {
+        let result = self.gate.acquire_slot(head).await;
         let journal = &self.shared.journal;
         match &result {
             Ok(_) => journal.note(head.call, Step::Started, Detail::None),
@@ -216,39 +216,39 @@
             body,
             confirm,
         } = call;
-        let _leave = match self.leave_to_run(&head).await {
-            Ok(leave) => leave,
-            Err(barred) => return Err(self.home(barred.refuse(attempt), head.account)),
+        let _run_permit = match self.acquire_run_permit(&head).await {
+            Ok(permit) => permit,
+            Err(refused) => return Err(self.return_retries(refused.refuse(attempt), head.account)),
         };
-        let mut pass = match self.enter(&head).await {
-            Ok(pass) => pass,
+        let mut slot = match self.acquire_slot(&head).await {
+            Ok(slot) => slot,
             Err(shed) => {
                 let refusal = attempt.refuse(Reason::Shed(shed), self.detail(shed));
-                return Err(self.home(refusal, head.account));
+                return Err(self.return_retries(refusal, head.account));
             }
         };
         if let Some(confirm) = confirm {
-            let told = tokio::time::timeout_at(head.deadline, confirm.ask()).await;
-            if told != Ok(true) {
+            let confirmed = tokio::time::timeout_at(head.deadline, confirm.ask()).await;
+            if confirmed != Ok(true) {
                 let refusal = attempt.refuse(Reason::Shed(Shed::Cancelled), "");
-                return Err(self.home(refusal, head.account));
+                return Err(self.return_retries(refusal, head.account));
             }
         }
-        if let Err(barred) = self.check_held(&head) {
-            return Err(self.home(barred.refuse(attempt), head.account));
+        if let Err(refused) = self.check_not_quarantined(&head) {
+            return Err(self.return_retries(refused.refuse(attempt), head.account));
         }
         let held = self.shared.calls.hold(head.call, Held::new(&head));
         let attempt = attempt.send();
-        let asked = tokio::time::timeout_at(head.deadline, self.ask(&head, body)).await;
-        let answered = match asked {
-            Err(_) => return Err(self.give_up(attempt.lose(Reason::Timeout, ""), &held)),
+        let result = tokio::time::timeout_at(head.deadline, self.request(&head, body)).await;
+        let answer = match result {
+            Err(_) => return Err(self.close_call(attempt.lose(Reason::Timeout, ""), &held)),
             Ok(Err(error)) => {
-                pass.judge(error.is_fault());
-                return Err(self.failed(attempt, &error, &held));
+                slot.record_fault(error.is_fault());
+                return Err(self.refuse_failed(attempt, &error, &held));
             }
-            Ok(Ok(answered)) => answered,
+            Ok(Ok(answer)) => answer,
         };
-        let onward = self.note_end(&mut pass, &held, answered.status);
-        Ok(self.reply(answered, onward, pass, held))
+        let onward = self.record_end(&mut slot, &held, answer.status);
+        Ok(self.reply(answer, onward, slot, held))
     }
 }
--- a/src/guard/ask.rs
+++ b/src/guard/server_request.rs
@@ -11,14 +11,14 @@
 use crate::web::Payload;
 
 /// The backend server's answer, its body read so far as it is small.
-pub(super) struct Answered {
+pub(super) struct ServerAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) length: Option<u64>,
     pub(super) body: AnswerBody,
 }
 
-impl Answered {
+impl ServerAnswer {
     /// Tells whether the backend server went through with the call: it did not
     /// fail it on the way, and the answer is here whole.
     fn is_final(&self) -> bool {
@@ -32,29 +32,29 @@
     /// What is learned of the request outlives it, since a query of death comes
     /// again under other ids: held after three crashes, it ends no more servers
     /// where it ended 25 in eight seconds (`tests/query_of_death.rs`).
-    pub(super) async fn ask(
+    pub(super) async fn request(
         &self,
         head: &CallHead,
         body: Payload,
-    ) -> Result<Answered, BackendError> {
-        let began = Instant::now();
+    ) -> Result<ServerAnswer, BackendError> {
+        let sent_at = Instant::now();
         let server = self.server();
         match self.send(head, body, server.as_ref()).await {
-            Err(BackendError::Cut(cause)) => match self.crash_since(began).await {
+            Err(BackendError::ConnectionLost(cause)) => match self.detect_crash(sent_at).await {
                 Some(crash) => {
                     self.shared.note_own_crash(head.fingerprint, crash);
-                    self.ended(server.as_ref());
+                    self.record_run_end(server.as_ref());
                     Err(BackendError::Crashed(crash))
                 }
-                None => Err(BackendError::Cut(cause)),
+                None => Err(BackendError::ConnectionLost(cause)),
             },
-            Err(BackendError::Gone(cause)) => {
-                self.ended(server.as_ref());
-                Err(BackendError::Gone(cause))
+            Err(BackendError::NoListener(cause)) => {
+                self.record_run_end(server.as_ref());
+                Err(BackendError::NoListener(cause))
             }
-            Ok(answered) if answered.is_final() => {
+            Ok(answer) if answer.is_final() => {
                 self.shared.note_answer(head.fingerprint);
-                Ok(answered)
+                Ok(answer)
             }
             result => result,
         }
@@ -65,11 +65,11 @@
         head: &CallHead,
         body: Payload,
         server: Option<&ServerId>,
-    ) -> Result<Answered, BackendError> {
+    ) -> Result<ServerAnswer, BackendError> {
         let protocol = &self.shared.protocol;
         let mut headers = head.headers.clone();
         protocol.address(&mut headers, head, Instant::now(), server);
-        let (run, sent) = (self.run(), Instant::now());
+        let (run, sent_at) = (self.run(), Instant::now());
         let answer = self.backend.send(head, headers, body).await?;
         let (parts, body) = answer.into_parts();
         let meaning = protocol.meaning(head, parts.status, &parts.headers);
@@ -77,22 +77,22 @@
         if matches!(meaning, Meaning::Answer | Meaning::NotRun) && run == self.run() {
             // A refusal or an error says nothing by what it leaves out.
             let in_order = meaning == Meaning::Answer && !parts.status.is_server_error();
-            self.hear_notice(sent, notice, in_order);
+            self.record_notice(sent_at, notice, in_order);
         }
         match meaning {
             Meaning::Answer => {}
             Meaning::NotRun => return Err(BackendError::NotRun(notice.retry_after)),
             Meaning::OtherServer(found) => {
-                self.displaced(server, found.as_ref());
+                self.record_mismatch(server, found.as_ref());
                 return Err(BackendError::OtherServer(found));
             }
             Meaning::Garbage => {
                 let cause = "the answer is to another call, or no server's";
-                return Err(BackendError::Garbage(cause.into()));
+                return Err(BackendError::InvalidAnswer(cause.into()));
             }
         }
         let length = body.size_hint().exact();
-        Ok(Answered {
+        Ok(ServerAnswer {
             status: parts.status,
             headers: end_to_end(parts.headers),
             length,
--- a/src/guard/usage.rs
+++ b/src/guard/usage.rs
@@ -20,15 +20,15 @@
 impl Guard {
     /// Returns the workspaces that had most slot time, where they share it.
     pub fn usages(&self) -> Vec<WorkspaceRow> {
-        self.named(self.gate.usages())
+        self.workspace_rows(self.gate.usages())
     }
 
     /// Returns the same of the time since it was last asked.
-    pub fn lately(&self) -> Vec<WorkspaceRow> {
-        self.named(self.gate.lately())
+    pub fn take_recent_usages(&self) -> Vec<WorkspaceRow> {
+        self.workspace_rows(self.gate.take_recent_usages())
     }
 
-    fn named(&self, usages: Usages) -> Vec<WorkspaceRow> {
+    fn workspace_rows(&self, usages: Usages) -> Vec<WorkspaceRow> {
         if usages.is_empty() {
             return Vec::new();
         }
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -223,7 +223,7 @@
     async fn announce(&self, body: RequestBody) -> HttpResponse {
         match read::<Announce>(body).await {
             Ok(announce) => {
-                self.guard.announce(announce.cold);
+                self.guard.renew_lease(announce.cold);
                 answer_text(StatusCode::OK, "announced\n")
             }
             Err(why) => answer_text(StatusCode::BAD_REQUEST, why),
--- a/src/platform/beat.rs
+++ b/src/platform/beat.rs
@@ -96,7 +96,7 @@
             Err(cause) => refused(&server, &cause),
         },
         Method::DELETE => {
-            guard.depart(&server, goodbye(body).await);
+            guard.record_goodbye(&server, goodbye(body).await);
             spdlog::info!("backend server says goodbye", kv: { server = server.as_str() });
             acknowledged()
         }
@@ -140,7 +140,7 @@
     if service != guard.service() {
         return refused(server, "it is of another service than this VM's");
     }
-    let change = guard.hear(news);
+    let change = guard.receive_announcement(news);
     let told = match change {
         Presented::Renewed => return acknowledged(),
         Presented::Arrived => "arrived",
--- a/src/task/lease.rs
+++ b/src/task/lease.rs
@@ -23,7 +23,7 @@
             LeaseState::Serving => MemberState::Serving,
             LeaseState::Leaving => MemberState::Leaving,
         };
-        say_slots(&shared, guard.announced());
+        say_slots(&shared, guard.announced_slots());
         say_state(&shared, state);
     }
 }
--- a/src/task/report.rs
+++ b/src/task/report.rs
@@ -54,7 +54,7 @@
 
 /// Logs which workspaces had most of the slots since the line before.
 fn report_workspaces(guard: &Guard) {
-    let rows = guard.lately();
+    let rows = guard.take_recent_usages();
     if rows.is_empty() {
         return;
     }
--- a/tests/crashed_server.rs
+++ b/tests/crashed_server.rs
@@ -21,14 +21,14 @@
 use support::hosted::{Vm, document, store, vm_beside};
 
 /// How long the server is away; longer than the test.
-const AWAY: Duration = Duration::from_secs(30);
+const RESTART_TIME: Duration = Duration::from_secs(30);
 /// Calls that are asked at the same time. One by one, all of ten go to the other
 /// server in about two runs of a hundred, so that nobody meets the one that is gone.
-const TOGETHER: usize = 8;
+const CONCURRENT_CALLS: usize = 8;
 /// Time in which an estate must know that a server is gone.
-const KNOWN: Duration = Duration::from_secs(2);
+const DETECTION_LIMIT: Duration = Duration::from_secs(2);
 
-fn serving(entry: &Vm) -> usize {
+fn serving_targets(entry: &Vm) -> usize {
     let service = "svc".parse().expect("a name");
     let table = entry.daemon.shared().routes.table(&service);
     let table = table.lock();
@@ -38,24 +38,24 @@
 
 async fn wait_serving(entry: &Vm, count: usize) {
     eventually("the servers that take calls", || async {
-        (serving(entry) == count).then_some(())
+        (serving_targets(entry) == count).then_some(())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn crashed_server_is_left_out_though_its_lease_lasts() {
+async fn crashed_server_is_avoided_before_its_lease_ends() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let first = CrashingVm::start("svc", address, AWAY).await;
-    let _second = CrashingVm::start("svc", address, AWAY).await;
+    let first = CrashingVm::start("svc", address, RESTART_TIME).await;
+    let _second = CrashingVm::start("svc", address, RESTART_TIME).await;
     let entry = vm_beside("till", address).await;
     entry.wait_ready().await;
     wait_serving(&entry, 2).await;
     first.server.crash();
     let crashed = std::time::Instant::now();
     for round in 0..10 {
-        let calls = (0..TOGETHER).map(async |n| {
+        let calls = (0..CONCURRENT_CALLS).map(async |n| {
             let (path, id) = (format!("/read/{round}-{n}"), format!("r{round}-{n}"));
             let answer = entry.ask(Method::GET, &path, &id).await;
             assert_eq!(answer.status, StatusCode::OK, "request {n} of {round}");
@@ -63,15 +63,19 @@
         join_all(calls).await;
     }
     wait_serving(&entry, 1).await;
-    assert!(crashed.elapsed() < KNOWN, "{:?}", crashed.elapsed());
+    assert!(
+        crashed.elapsed() < DETECTION_LIMIT,
+        "{:?}",
+        crashed.elapsed()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn crashed_server_that_is_back_is_served_at_its_first_announcement() {
+async fn restarted_server_serves_from_its_first_announcement() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let away = Duration::from_millis(500);
-    let first = CrashingVm::start("svc", address, away).await;
+    let restart_time = Duration::from_millis(500);
+    let first = CrashingVm::start("svc", address, restart_time).await;
     let entry = vm_beside("till", address).await;
     entry.wait_ready().await;
     wait_serving(&entry, 1).await;
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -28,12 +28,12 @@
 
 /// How long after the third crash a request may still reach servers, as the
 /// operators state it; and how often it may after that.
-const LEARNT: Duration = Duration::from_secs(3);
-const MOST_LATER: usize = 3;
+const LEARNING_TIME: Duration = Duration::from_secs(3);
+const MAX_LATE_RUNS: usize = 3;
 /// How long a server is away after a crash.
-const AWAY: Duration = Duration::from_millis(600);
+const RESTART_TIME: Duration = Duration::from_millis(600);
 /// How long callers come.
-const PLAY: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 
 /// Three servers of `svc`, and two VMs of other services beside which callers
 /// stand.
@@ -74,7 +74,7 @@
         let address = platform.address;
         let mut servers = Vec::new();
         for _ in 0..3 {
-            servers.push(CrashingVm::start("svc", address, AWAY).await);
+            servers.push(CrashingVm::start("svc", address, RESTART_TIME).await);
         }
         let estate = Self {
             servers,
@@ -82,11 +82,11 @@
             logbay: Arc::new(vm_beside("logbay", address).await),
             _platform: platform.clone(),
         };
-        estate.wait_known().await;
+        estate.wait_targets().await;
         estate
     }
 
-    async fn wait_known(&self) {
+    async fn wait_targets(&self) {
         for entry in [&self.till, &self.logbay] {
             entry.wait_ready().await;
             eventually("all targets", || async {
@@ -102,7 +102,7 @@
     }
 
     /// Loses all daemons at once; what is on the platform stays.
-    async fn lose(self) {
+    async fn kill_daemons(self) {
         let servers = self.servers.iter().map(|server| Arc::clone(&server.vm));
         let vms: Vec<Arc<Vm>> = servers.chain([self.till, self.logbay]).collect();
         drop(self.servers);
@@ -129,14 +129,14 @@
     }
 
     /// Checks that after some time the servers are kept from a deadly request.
-    fn check_kept_from(&self, path: &str) {
+    fn check_runs_stop(&self, path: &str) {
         let crashes = self.crashes();
         assert!(crashes.len() >= 3, "{} crashes", crashes.len());
-        let known = crashes[2] + LEARNT;
+        let known = crashes[2] + LEARNING_TIME;
         let later = self.runs(path).iter().filter(|at| **at > known).count();
         let ended = crashes.len();
         assert!(
-            later <= MOST_LATER,
+            later <= MAX_LATE_RUNS,
             "reached servers {later} times after three had ended and all could know; {ended} \
              ended in all"
         );
@@ -144,32 +144,32 @@
 }
 
 /// Sends the same request again and again, at one entry after the other.
-async fn insist(entries: [Arc<Vm>; 2], path: &'static str, until: Instant) -> Vec<Answer> {
-    let mut asked = Vec::new();
+async fn repeat_request(entries: [Arc<Vm>; 2], path: &'static str, until: Instant) -> Vec<Answer> {
+    let mut tasks = Vec::new();
     let mut count = 0;
     while Instant::now() < until {
         let entry = Arc::clone(&entries[count % 2]);
         let id = format!("insist-{count}");
-        asked.push(tokio::spawn(async move {
+        tasks.push(tokio::spawn(async move {
             entry.ask(Method::GET, path, &id).await
         }));
         count += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let mut answers = Vec::new();
-    for asked in asked {
-        answers.push(asked.await.expect("an answer"));
+    for task in tasks {
+        answers.push(task.await.expect("an answer"));
     }
     answers
 }
 
 /// How one of the other callers fared, who comes twice more if it must.
-struct Fared {
+struct CallerResult {
     began: Instant,
     answers: Vec<Answer>,
 }
 
-impl Fared {
+impl CallerResult {
     fn is_served(&self) -> bool {
         self.answers
             .last()
@@ -177,7 +177,7 @@
     }
 }
 
-async fn ask_as_callers_do(entry: Arc<Vm>, path: String) -> Fared {
+async fn ask_with_retries(entry: Arc<Vm>, path: String) -> CallerResult {
     let began = Instant::now();
     let mut answers = Vec::new();
     for attempt in 0..3 {
@@ -190,46 +190,47 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Fared { began, answers }
+    CallerResult { began, answers }
 }
 
 /// Sends other requests, each of its own, through both entries.
-async fn others(entries: [Arc<Vm>; 2], until: Instant) -> Vec<Fared> {
-    let mut asked = Vec::new();
+async fn send_other_requests(entries: [Arc<Vm>; 2], until: Instant) -> Vec<CallerResult> {
+    let mut tasks = Vec::new();
     let mut count = 0;
     while Instant::now() < until {
         let path = format!("/read/other-{count}");
         let entry = Arc::clone(&entries[count % 2]);
-        asked.push(tokio::spawn(ask_as_callers_do(entry, path)));
+        tasks.push(tokio::spawn(ask_with_retries(entry, path)));
         count += 1;
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    let mut fared = Vec::new();
-    for asked in asked {
-        fared.push(asked.await.expect("an end"));
+    let mut results = Vec::new();
+    for task in tasks {
+        results.push(task.await.expect("an end"));
     }
-    fared
+    results
 }
 
-fn both(estate: &Estate) -> [Arc<Vm>; 2] {
+fn both_entries(estate: &Estate) -> [Arc<Vm>; 2] {
     [Arc::clone(&estate.till), Arc::clone(&estate.logbay)]
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn deadly_request_is_kept_from_servers_and_no_other_is() {
+async fn deadly_request_is_quarantined_and_others_are_served() {
     let estate = Estate::start().await;
-    let until = Instant::now() + PLAY;
-    let deadly = insist(both(&estate), "/read/deadly", until);
-    let (answers, fared) = tokio::join!(deadly, others(both(&estate), until));
-    estate.check_kept_from("/deadly");
+    let until = Instant::now() + LOAD_DURATION;
+    let deadly = repeat_request(both_entries(&estate), "/read/deadly", until);
+    let (answers, results) =
+        tokio::join!(deadly, send_other_requests(both_entries(&estate), until));
+    estate.check_runs_stop("/deadly");
     let last = answers.last().expect("answers");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(last.headers.contains_key("retry-after"));
-    let known = estate.crashes()[2] + LEARNT;
-    let later: Vec<&Fared> = fared.iter().filter(|f| f.began > known).collect();
+    let known = estate.crashes()[2] + LEARNING_TIME;
+    let later: Vec<&CallerResult> = results.iter().filter(|f| f.began > known).collect();
     assert!(!later.is_empty());
-    for fared in later {
-        assert!(fared.is_served());
+    for result in later {
+        assert!(result.is_served());
     }
 }
 
@@ -238,15 +239,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn deadly_request_of_one_caller_is_served_to_another() {
     let estate = Estate::start().await;
-    let until = Instant::now() + PLAY;
+    let until = Instant::now() + LOAD_DURATION;
     let of = |vm: &Arc<Vm>| [Arc::clone(vm), Arc::clone(vm)];
-    let deadly = insist(of(&estate.till), "/read/partial", until);
-    let harmless = insist(of(&estate.logbay), "/read/partial", until);
+    let deadly = repeat_request(of(&estate.till), "/read/partial", until);
+    let harmless = repeat_request(of(&estate.logbay), "/read/partial", until);
     let (deadly, harmless) = tokio::join!(deadly, harmless);
     let crashes = estate.crashes();
-    let known = crashes[2] + LEARNT;
+    let known = crashes[2] + LEARNING_TIME;
     let later = crashes.iter().filter(|at| **at > known).count();
-    assert!(later <= MOST_LATER, "{later} servers ended later");
+    assert!(later <= MAX_LATE_RUNS, "{later} servers ended later");
     let status = |answer: Option<&Answer>| answer.map(|answer| answer.status);
     assert_eq!(status(deadly.last()), Some(StatusCode::SERVICE_UNAVAILABLE));
     assert_eq!(status(harmless.last()), Some(StatusCode::OK));
@@ -255,7 +256,7 @@
 /// Servers that end for another reason under a request speak against it, until
 /// one has answered it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn request_that_was_answered_is_served_however_many_servers_end() {
+async fn answered_request_is_served_after_unrelated_crashes() {
     let estate = Estate::start().await;
     for round in 0..6 {
         let path = "/read/same";
@@ -273,24 +274,24 @@
         if round % 2 == 1 {
             assert_eq!(answer.status, StatusCode::OK, "round {round}");
         }
-        tokio::time::sleep(AWAY + Duration::from_millis(200)).await;
+        tokio::time::sleep(RESTART_TIME + Duration::from_millis(200)).await;
     }
 }
 
 /// All daemons may be lost at once, and with them all that they know of requests
 /// that crash servers; the caller comes again to those that start in their place.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn deadly_request_stays_held_when_all_daemons_were_lost() {
+async fn quarantine_survives_loss_of_all_daemons() {
     let platform = Platform::start().await;
     let estate = Estate::start_on(&platform).await;
     let until = Instant::now() + Duration::from_secs(3);
-    let answers = insist(both(&estate), "/read/deadly", until).await;
+    let answers = repeat_request(both_entries(&estate), "/read/deadly", until).await;
     let last = answers.last().expect("answers");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE);
-    estate.lose().await;
+    estate.kill_daemons().await;
     let estate = Estate::start_on(&platform).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    for entry in both(&estate) {
+    for entry in both_entries(&estate) {
         let answer = entry.ask(Method::GET, "/read/deadly", "again").await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         let answer = entry.ask(Method::GET, "/read/other", "other").await;
--- a/tests/server_leaving.rs
+++ b/tests/server_leaving.rs
@@ -15,12 +15,12 @@
 use support::hosted::{document, store, vm, vm_beside};
 
 /// Time from which on a leaving server may get nothing more.
-const DRAINED: Duration = Duration::from_secs(2);
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 // Guards against a server that says only with its answers that it leaves, and
 // goes on getting requests until it is gone.
 #[tokio::test]
-async fn server_that_says_it_leaves_gets_nothing_more() {
+async fn leaving_server_receives_no_requests() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
     let vm = vm("svc", address).await;
@@ -29,35 +29,37 @@
     vm.seen.say(&[("server-leaving", "1")]);
     let answer = vm.ask(Method::GET, "/read/1", "r1").await;
     assert_eq!(answer.status, StatusCode::OK);
-    let told = Instant::now();
-    tokio::time::sleep(DRAINED).await;
+    let notified_at = Instant::now();
+    tokio::time::sleep(DRAIN_TIME).await;
     // Its announcements may be older than the word, and come later.
     vm.announce("ready", 2).await;
     let answer = vm.ask(Method::POST, "/write/2", "r2").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    let late = vm.seen.count(told + DRAINED, Instant::now(), &["svc"]);
+    let late = vm
+        .seen
+        .count(notified_at + DRAIN_TIME, Instant::now(), &["svc"]);
     assert_eq!(late, 0);
 }
 
 // Guards against a daemon that starts again beside a server that leaves, and takes
 // a late announcement for a server that stays, though entries know better.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn guard_that_starts_again_hears_from_entries_that_its_server_leaves() {
+async fn restarted_guard_learns_from_entries_that_its_server_leaves() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let leaver = vm("svc", address).await;
-    leaver.announce("ready", 1).await;
+    let leaving = vm("svc", address).await;
+    leaving.announce("ready", 1).await;
     let entry = vm_beside("till", address).await;
     entry.wait_ready().await;
-    leaver.seen.say(&[("server-leaving", "1")]);
+    leaving.seen.say(&[("server-leaving", "1")]);
     eventually("the word", || async {
         let answer = entry.ask(Method::GET, "/read/1", "r1").await;
         (answer.status == StatusCode::OK).then_some(())
     })
     .await;
-    let leaver = leaver.restart().await;
-    leaver.announce("ready", 2).await;
-    let before = leaver.seen.arrivals.lock().len();
+    let leaving = leaving.restart().await;
+    leaving.announce("ready", 2).await;
+    let before = leaving.seen.arrivals.lock().len();
     let refused = eventually("a call that meets the guard", || async {
         let answer = entry.ask(Method::GET, "/read/2", "r2").await;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -65,5 +67,5 @@
     })
     .await;
     assert_eq!(refused, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(leaver.seen.arrivals.lock().len(), before);
+    assert_eq!(leaving.seen.arrivals.lock().len(), before);
 }
--- a/tests/server_limit.rs
+++ b/tests/server_limit.rs
@@ -22,10 +22,10 @@
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// How long after an entry has passed the word on it is bound by it.
-const TOLD: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 /// Returns the most requests of a window that a limit allows.
-fn allowed(limit: f64) -> usize {
+fn max_requests(limit: f64) -> usize {
     (1.5 * limit * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
@@ -55,54 +55,58 @@
 // Guards against a limit that no daemon reads: 335 requests in 4 s reached a
 // server that had named 23.3 a second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn named_limit_bounds_what_the_server_gets_from_all_entries() {
+async fn server_limit_bounds_requests_from_all_entries() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let (needy, sound) = (server(address).await, server(address).await);
+    let (limited, unlimited) = (server(address).await, server(address).await);
     let origins = ["till", "desk"];
     let entries = [
         entry(origins[0], address, 2).await,
         entry(origins[1], address, 2).await,
     ];
-    needy.seen.say(&[("server-limit", "10.0")]);
+    limited.seen.say(&[("server-limit", "10.0")]);
     let start = Instant::now();
     let entries: Vec<_> = entries.iter().collect();
-    let ends = reads(&entries, "/read/", 120, WINDOW + TOLD * 2).await;
-    let most = needy.seen.most(start + TOLD, WINDOW, &origins);
-    assert!(most <= allowed(10.0), "it got {most} in 4 s");
+    let ends = reads(&entries, "/read/", 120, WINDOW + PROPAGATION_TIME * 2).await;
+    let most = limited
+        .seen
+        .most(start + PROPAGATION_TIME, WINDOW, &origins);
+    assert!(most <= max_requests(10.0), "it got {most} in 4 s");
     // It is in need, not gone: what it takes is used.
     assert!(most >= 20, "it got {most} in 4 s");
     assert_eq!(ends.served, ends.all(), "{ends:?}");
-    assert!(sound.seen.arrivals.lock().len() > ends.all() / 2);
+    assert!(unlimited.seen.arrivals.lock().len() > ends.all() / 2);
 }
 
 // Guards against a daemon that starts again beside a server in need and lets a
 // queue go before its first answer, though the entries had been told.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn guard_that_starts_again_keeps_the_limit() {
+async fn restarted_guard_keeps_the_limit() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let (needy, _sound) = (server(address).await, server(address).await);
+    let (limited, _unlimited) = (server(address).await, server(address).await);
     let entry = entry("till", address, 2).await;
-    needy.seen.say(&[("server-limit", "3")]);
+    limited.seen.say(&[("server-limit", "3")]);
     let start = Instant::now();
     let load = async |time| reads(&[&entry], "/read/late-", 100, time).await;
-    load(TOLD * 3).await;
-    let needy = needy.restart().await;
-    let beats = async {
+    load(PROPAGATION_TIME * 3).await;
+    let limited = limited.restart().await;
+    let announcing = async {
         eventually("its daemon", || async {
-            (needy.announce("ready", 2).await.status == 200).then_some(())
+            (limited.announce("ready", 2).await.status == 200).then_some(())
         })
         .await;
     };
     // More than the other server can do, so that calls wait for this one.
-    let (ends, ()) = tokio::join!(load(WINDOW), beats);
-    let again = needy
+    let (ends, ()) = tokio::join!(load(WINDOW), announcing);
+    let again = limited
         .seen
-        .count(start + TOLD * 3, Instant::now(), &["till"]);
+        .count(start + PROPAGATION_TIME * 3, Instant::now(), &["till"]);
     assert!(again > 3, "it got {again} after the start");
-    let most = needy.seen.most(start + TOLD, WINDOW, &["till"]);
-    assert!(most <= allowed(3.0), "it got {most} in 4 s");
+    let most = limited
+        .seen
+        .most(start + PROPAGATION_TIME, WINDOW, &["till"]);
+    assert!(most <= max_requests(3.0), "it got {most} in 4 s");
     assert_eq!(ends.failed, 0, "{ends:?}");
 }
 
@@ -126,7 +130,7 @@
 // Guards against refusals by chance, and against callers told to come back when
 // there is no room yet, where all servers of a service are in need.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_that_fit_nowhere_wait_and_are_refused_by_class() {
+async fn calls_over_all_limits_wait_and_are_refused_by_class() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &two_classes());
     let servers = [server(address).await, server(address).await];
@@ -140,7 +144,7 @@
     }
     let entries: Vec<_> = entries.iter().collect();
     let start = Instant::now();
-    let time = WINDOW + TOLD * 2;
+    let time = WINDOW + PROPAGATION_TIME * 2;
     // Together the servers take 24 a second, and one more a class at the start.
     let (high, low) = tokio::join!(
         reads(&entries, "/read/", 18, time),
@@ -151,8 +155,8 @@
     assert_eq!((high.failed, low.failed), (0, 0));
     assert!(low.told.len() >= low.refused, "all are told when to return");
     for server in &servers {
-        let most = server.seen.most(start + TOLD, WINDOW, &origins);
-        assert!(most <= allowed(12.0), "it got {most} in 4 s");
+        let most = server.seen.most(start + PROPAGATION_TIME, WINDOW, &origins);
+        assert!(most <= max_requests(12.0), "it got {most} in 4 s");
         let mut ids: Vec<_> = server
             .seen
             .arrivals
@@ -169,21 +173,21 @@
 
 // Guards against a limit that outlives the need.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn limit_ends_once_answers_no_longer_name_it() {
+async fn limit_ends_when_answers_omit_it() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
-    let needy = server(address).await;
+    let limited = server(address).await;
     let entry = entry("till", address, 1).await;
-    needy.seen.say(&[("server-limit", "0")]);
-    reads(&[&entry], "/read/a", 20, TOLD).await;
-    needy.seen.say(&[]);
+    limited.seen.say(&[("server-limit", "0")]);
+    reads(&[&entry], "/read/a", 20, PROPAGATION_TIME).await;
+    limited.seen.say(&[]);
     // A server that takes nothing is asked now and then.
     eventually("the end of the need", || async {
         entry.ask(Method::GET, "/read/b", "b").await;
-        needy.daemon.guard().gate().rate().is_none().then_some(())
+        limited.daemon.guard().gate().rate().is_none().then_some(())
     })
     .await;
-    tokio::time::sleep(TOLD).await;
-    let ends = reads(&[&entry], "/read/c", 100, TOLD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let ends = reads(&[&entry], "/read/c", 100, PROPAGATION_TIME).await;
     assert_eq!(ends.served, ends.all(), "{ends:?}");
 }
