--- a/src/guard/announced.rs
+++ b/src/guard/announced.rs
@@ -73,7 +73,7 @@
 
     /// Takes note that a run of the backend server has ended or is about to.
     pub fn depart(&self, server: &ServerId, born: Option<Born>) {
-        if self.presence.lock().record_goodbye(server, born) {
+        if self.presence.lock().record_departure(server, born) {
             self.drain();
             self.shared.announced.notify_one();
         }
--- a/src/policy/member/presence.rs
+++ b/src/policy/member/presence.rs
@@ -160,20 +160,20 @@
 
     /// Takes note that a server has said goodbye, and of which run if it told;
     /// returns whether it was the one that is present.
-    pub fn record_goodbye(&mut self, server: &ServerId, start: Option<Born>) -> bool {
-        let goodbye = Run {
+    pub fn record_departure(&mut self, server: &ServerId, start: Option<Born>) -> bool {
+        let departed = Run {
             server: server.clone(),
             start,
         };
         let present = self.present.as_ref().map(|present| present.run.clone());
         match present.filter(|run| run.server == *server) {
-            Some(run) if run.follows(&goodbye) => false,
+            Some(run) if run.follows(&departed) => false,
             Some(run) => {
                 self.retire(run);
                 true
             }
             None => {
-                self.retire_unseen(goodbye);
+                self.retire_unseen(departed);
                 false
             }
         }
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -75,7 +75,7 @@
 fn depart_ends_the_run_that_is_present() {
     let mut presence = Presence::default();
     presence.announce(&serve("a", 1));
-    assert!(presence.record_goodbye(&id("a"), None));
+    assert!(presence.record_departure(&id("a"), None));
     assert!(!presence.is_serving());
     assert_eq!(presence.announce(&serve("a", 2)), AnnouncementEffect::Stale);
 }
@@ -85,7 +85,7 @@
     let mut presence = Presence::default();
     presence.announce(&serve("a", 1));
     presence.announce(&serve("b", 1));
-    assert!(!presence.record_goodbye(&id("a"), None));
+    assert!(!presence.record_departure(&id("a"), None));
     assert!(presence.is_serving());
 }
 
@@ -164,7 +164,7 @@
 fn announce_takes_a_server_back_that_said_goodbye_and_started_again() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
-    assert!(presence.record_goodbye(&id("a"), None));
+    assert!(presence.record_departure(&id("a"), None));
     assert_eq!(
         presence.announce(&run("a", 1_000, 21)),
         AnnouncementEffect::Stale
@@ -196,7 +196,7 @@
     let mut presence = Presence::default();
     // A daemon that started late never heard the first run of "a".
     presence.announce(&run("b", 2_000, 1));
-    assert!(!presence.record_goodbye(&id("a"), None));
+    assert!(!presence.record_departure(&id("a"), None));
     assert_eq!(
         presence.announce(&run("a", 1_000, 21)),
         AnnouncementEffect::Stale
@@ -211,7 +211,7 @@
 fn announce_keeps_the_former_order_without_a_start() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
-    presence.record_goodbye(&id("a"), None);
+    presence.record_departure(&id("a"), None);
     assert_eq!(
         presence.announce(&serve("a", 30)),
         AnnouncementEffect::Stale
@@ -222,9 +222,9 @@
 fn depart_of_an_earlier_run_of_the_same_id_changes_nothing() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 2_000, 1));
-    assert!(!presence.record_goodbye(&id("a"), Some(Born::from_millis(1_000))));
+    assert!(!presence.record_departure(&id("a"), Some(Born::from_millis(1_000))));
     assert!(presence.is_serving());
-    assert!(presence.record_goodbye(&id("a"), Some(Born::from_millis(2_000))));
+    assert!(presence.record_departure(&id("a"), Some(Born::from_millis(2_000))));
     assert!(!presence.is_serving());
 }
 
