--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -6,9 +6,11 @@
 use bramleymount::model::{
     CentreName, ClassRank, Depth, GuardNews, Instance, Priority, Retries, RootId, Slots, StartStamp,
 };
-use bramleymount::policy::admission::{Admission, Decision, Outcome, Settings, Token, Waiting};
+use bramleymount::policy::admission::{
+    Admission, CallToken, Decision, Outcome, QueuedCall, Settings,
+};
 use bramleymount::policy::retry::RetryAccount;
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -53,23 +55,23 @@
         let mut account = RetryAccount::new(Retries::new(3));
         let loan = account.grant();
         let table = &mut tables[call as usize % SERVICES];
-        let want = Want {
+        let want = CallNeeds {
             level: priority.level(),
             protected: false,
             avoid: None,
         };
         if let Pick::Target(target) = table.choose(now, want, &mut rng) {
-            table.report(now, target, Report::Heard(GuardNews::default()));
+            table.report(now, target, AttemptReport::Responded(GuardNews::default()));
         }
-        let token = Token(call);
+        let token = CallToken(call);
         let deadline = now + std::time::Duration::from_secs(1);
-        let waiting = Waiting {
+        let waiting = QueuedCall {
             token,
             priority,
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         if admission.arrive(now, waiting).0 == Decision::Start {
             black_box(admission.finish(now, token, Outcome::Answered));
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -15,12 +15,13 @@
     ServiceName, Slots, StartStamp, Verdict,
 };
 use bramleymount::policy::admission::{
-    Admission, Decision, Event as Admitted, Met, Outcome, Settings, Shed, Token, Waiting,
+    Admission, CallToken, Decision, Event as Admitted, OnwardOutcome, Outcome, QueuedCall,
+    Settings, Shed,
 };
 use bramleymount::policy::retry::{
     FailedAttempt, RepeatSafety, RetryAccount, RetryDecision, RetryGrant, RetryRatio, decide_retry,
 };
-use bramleymount::policy::route::{Pick, Report, Table, Target, Want};
+use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -93,7 +94,7 @@
     orphan: bool,
     closed: bool,
     news: GuardNews,
-    met: Vec<Met>,
+    met: Vec<OnwardOutcome>,
 }
 
 struct Server {
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -12,7 +12,7 @@
 use crate::error::Error;
 use crate::model::{CentreName, HallName, ServiceName, Slots, Span, Version};
 use crate::operator::{ApplyRequest, ApplyResult, apply};
-use crate::policy::front::Front;
+use crate::policy::front::FrontMode;
 use crate::policy::route::Balance;
 use crate::store::Memory;
 
@@ -163,12 +163,12 @@
         };
         let backend = BackendServer::start(config.backend, callers, slots as usize, behaviour)?;
         let daemon = Daemon::start_on(config, Arc::clone(&self.platform) as _).await?;
-        daemon.guard().announce(false);
+        daemon.guard().renew_lease(false);
         let guard = Arc::clone(daemon.guard());
         let renewing = tokio::spawn(async move {
             loop {
                 tokio::time::sleep(RENEW).await;
-                guard.renew();
+                guard.renew_unless_draining();
             }
         });
         self.servers.push(Server {
@@ -215,7 +215,7 @@
             hosting: None,
             balance: Balance::default(),
             metrics: None,
-            front: Front::default(),
+            front: FrontMode::default(),
             workers: 1,
             ahead: 1,
             fair: false,
--- a/src/entry/again.rs
+++ b/src/entry/again.rs
@@ -80,7 +80,7 @@
         self.table(|table| {
             self.purse.with(|account| {
                 decide_retry(failure, safety, account, || {
-                    table.retries().try_take(now, level, root)
+                    table.retry_budget().try_take(now, level, root)
                 })
             })
         }) == RetryDecision::Retry
--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -6,7 +6,7 @@
 
 use super::{CrashRecord, RunRestriction, Suspect};
 use crate::model::{CrashId, Fingerprint};
-use crate::policy::member::Change;
+use crate::policy::member::ChangeCount;
 
 /// Most suspects that are remembered, of some 200 bytes each. One crash adds as
 /// many as its server has slots, some hundred.
@@ -15,8 +15,8 @@
 /// The requests that were in flight at crashes, limited in number and age.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    suspects: HashMap<u128, (Suspect, Change)>,
-    change: Change,
+    suspects: HashMap<u128, (Suspect, ChangeCount)>,
+    change: ChangeCount,
 }
 
 impl Suspects {
@@ -100,9 +100,10 @@
     }
 
     /// Returns the suspects changed after `since`, and the count of changes.
-    pub fn changes_since(&self, now: Instant, since: Change) -> (Vec<Suspect>, Change) {
-        let later =
-            |(suspect, change): &&(Suspect, Change)| *change > since && !suspect.is_expired(now);
+    pub fn changes_since(&self, now: Instant, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
+        let later = |(suspect, change): &&(Suspect, ChangeCount)| {
+            *change > since && !suspect.is_expired(now)
+        };
         let suspects = self.suspects.values().filter(later);
         let suspects = suspects.map(|(suspect, _)| suspect.clone()).collect();
         (suspects, self.change)
@@ -128,7 +129,7 @@
     /// Stores a suspect and counts the change if something in it is new.
     fn store(&mut self, suspect: Suspect, is_new: bool) {
         if is_new {
-            self.change = Change(self.change.0 + 1);
+            self.change = ChangeCount(self.change.0 + 1);
             self.suspects.insert(suspect.digest, (suspect, self.change));
         }
     }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -11,7 +11,7 @@
 
 use bramleymount::model::{CrashId, Fingerprint};
 use bramleymount::policy::crash::{RunRestriction, Suspect, Suspects};
-use bramleymount::policy::member::Change;
+use bramleymount::policy::member::ChangeCount;
 use proptest::prelude::*;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -289,7 +289,7 @@
     for number in 0..3 {
         let mut one = Suspects::default();
         record_crashes(&mut one, now, number, &[DEADLY, 100 + u128::from(number)]);
-        let (update, _) = one.changes_since(now, Change::default());
+        let (update, _) = one.changes_since(now, ChangeCount::default());
         for suspect in &update {
             assert!(all.merge(now, suspect));
             assert!(!all.merge(now, suspect), "merged twice");
@@ -364,15 +364,15 @@
         };
         let (mut one, mut other) = (apply(&ours), apply(&theirs));
         for _ in 0..2 {
-            for update in one.changes_since(now, Change::default()).0 {
+            for update in one.changes_since(now, ChangeCount::default()).0 {
                 other.merge(now, &update);
             }
-            for update in other.changes_since(now, Change::default()).0 {
+            for update in other.changes_since(now, ChangeCount::default()).0 {
                 one.merge(now, &update);
             }
         }
         prop_assert_eq!(one.get(now, DEADLY), other.get(now, DEADLY));
-        for update in one.changes_since(now, Change::default()).0 {
+        for update in one.changes_since(now, ChangeCount::default()).0 {
             prop_assert!(!other.merge(now, &update));
         }
     }
