--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -1,4 +1,4 @@
-//! Admission at one guard.
+//! Admission control of one guard.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,22 +13,23 @@
 };
 use crate::model::{ClassRank, Level, Priority, Slots};
 
-/// Longest wait of a call that is not protected.
+/// Longest time in the queue for a call that is not protected.
 const MAX_WAIT: Duration = Duration::from_millis(200);
-/// Time that a full queue takes to be served.
+/// Time in which a full queue should be served.
 const QUEUE_DRAIN_TIME: Duration = Duration::from_millis(50);
-/// Least and greatest length of the queue as a share of the limit.
+/// Bounds of the queue's length, as a multiple of the concurrency limit.
 const QUEUE_RATIO: std::ops::RangeInclusive<f64> = 0.5..=4.0;
-/// Fewest calls that may wait.
+/// Least number of calls that the queue holds.
 const MIN_QUEUE_LEN: usize = 4;
-/// What admission needs to know of the service and its rules.
+
+/// Properties of the backend server and its service that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Slots of the backend server.
     pub slots: Slots,
     /// Whether the backend server has just started.
     pub cold: bool,
-    /// The least important rank whose calls are protected, if any.
+    /// The least important class whose calls are protected, if any.
     pub protected: Option<ClassRank>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl Admission {
-    /// Makes the admission of a backend server.
+    /// Creates the admission control of a backend server.
     pub fn new(now: Instant, settings: Settings) -> Self {
         let limit = if settings.cold {
             ConcurrencyLimit::cold(settings.slots)
@@ -78,23 +79,24 @@
         }
     }
 
-    /// Takes changed rules without disturbing what runs.
+    /// Applies changed rules; calls in flight are not affected.
     pub fn reload(&mut self, slots: Slots, protected: Option<ClassRank>) {
         self.limit.resize(slots);
         self.protected = protected;
     }
 
-    /// Shares slot time among workspaces by these weights, or no longer.
+    /// Shares slot time among workspaces by `weights`; `None` ends the sharing.
     pub fn set_weights(&mut self, now: Instant, weights: Option<Weights>) {
         self.queue.set_weights(now, weights);
     }
 
-    /// Returns what is kept of workspaces, where they share.
+    /// Returns the fair queue if slot time is shared among workspaces.
     pub fn fair_queue(&mut self) -> Option<&mut FairQueue> {
         self.queue.fair_queue()
     }
 
-    /// Forgets what is known of the backend server, of which another run came.
+    /// Discards everything learned about the backend server, after a new run of it
+    /// has replaced the old one.
     pub fn forget(&mut self, slots: Slots) {
         self.reset_estimates(slots);
         self.throttle.forget();
@@ -106,14 +108,15 @@
         self.queue.forget();
     }
 
-    /// Starts anew with a cold backend server.
+    /// Resets the estimates for a backend server that has just started, and accepts
+    /// calls again.
     pub fn restart(&mut self, slots: Slots) {
         self.reset_estimates(slots);
         self.limit = ConcurrencyLimit::cold(slots);
         self.leaving = false;
     }
 
-    /// Decides on a call that arrives; events concern calls that waited.
+    /// Decides on an arriving call; the events concern calls that were queued.
     pub fn arrive(&mut self, now: Instant, call: QueuedCall) -> (Decision, Vec<Event>) {
         let (decision, events) = self.decide(now, call);
         if matches!(decision, Decision::Shed(_)) {
@@ -170,15 +173,15 @@
         Decision::Wait(expires)
     }
 
-    /// Takes note of a call that ended, and starts those that waited.
+    /// Records the end of a call and starts queued calls in the free slots.
     pub fn finish(&mut self, now: Instant, token: CallToken, outcome: Outcome) -> Vec<Event> {
         let mut events = Vec::new();
         let in_flight = self.running.len();
-        if let Some(run) = self.running.remove(&token) {
-            let latency = now.saturating_duration_since(run.start);
+        if let Some(running) = self.running.remove(&token) {
+            let latency = now.saturating_duration_since(running.start);
             self.limit.record(now, outcome, latency, in_flight);
-            if let Some(charge) = run.charge {
-                self.queue.settle(now, charge, run.start, outcome);
+            if let Some(charge) = running.charge {
+                self.queue.settle(now, charge, running.start, outcome);
             }
         }
         self.update_threshold(now);
@@ -186,8 +189,8 @@
         events
     }
 
-    /// Takes note of what a running call met further down its chain, and
-    /// whether it was answered well.
+    /// Records the outcomes of the onward calls that a running call made, and
+    /// whether that call was answered.
     pub fn record_onward(
         &mut self,
         now: Instant,
@@ -195,23 +198,23 @@
         outcomes: &[OnwardOutcome],
         answered: bool,
     ) {
-        if let Some(run) = self.running.get(&token) {
+        if let Some(running) = self.running.get(&token) {
             self.downstream
-                .record(now, run.level.rank(), outcomes, answered);
+                .record(now, running.level.rank(), outcomes, answered);
         }
     }
 
-    /// Takes note of whether the backend server failed a call by itself.
+    /// Records whether a call failed through a fault of the backend server itself.
     pub fn record_fault(&mut self, faulty: bool) {
         self.fault_rate.record(faulty);
     }
 
-    /// Takes a waiting call out; a running one goes on until it is finished.
+    /// Removes a queued call; a running call is not affected.
     pub fn cancel(&mut self, token: CallToken) {
         self.queue.remove(token);
     }
 
-    /// Sheds the calls that waited too long.
+    /// Sheds queued calls whose wait has expired and starts those that may start.
     pub fn expire(&mut self, now: Instant) -> Vec<Event> {
         let mut events = Vec::new();
         for call in self.queue.take_expired(now) {
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Refuses all new calls from now on and sheds those that wait.
+    /// Refuses all further calls and sheds the queued ones.
     pub fn leave(&mut self) -> Vec<Event> {
         self.leaving = true;
         self.queue
@@ -243,7 +246,7 @@
             .collect()
     }
 
-    /// Takes new calls again after [`Admission::leave`].
+    /// Accepts calls again after [`Admission::leave`].
     pub fn rejoin(&mut self) {
         self.leaving = false;
     }
@@ -258,7 +261,7 @@
         self.threshold.tick(now, backlog);
     }
 
-    /// Tells whether a slot is free and the server's rate lets a call start.
+    /// Returns whether a slot is free and the requested rate lets a call start.
     fn may_start(&self, now: Instant) -> bool {
         self.running.len() < self.limit.get() && self.throttle.is_open(now)
     }
@@ -284,7 +287,8 @@
         left.is_zero() || left < self.min_run_time()
     }
 
-    /// Returns the time that a call needs at the least once it has started.
+    /// Returns the least time that a started call is expected to take: half of the
+    /// mean latency.
     pub(super) fn min_run_time(&self) -> Duration {
         self.limit.latency().unwrap_or_default().mul_f64(0.5)
     }
@@ -293,12 +297,12 @@
         self.threshold.record_start();
         self.throttle.record_start(now);
         self.start_count += 1;
-        let run = RunningCall {
+        let running = RunningCall {
             start: now,
             level: call.priority.level(),
             charge: self.queue.charge(call),
         };
-        self.running.insert(call.token, run);
+        self.running.insert(call.token, running);
     }
 
     fn start_queued(&mut self, now: Instant, events: &mut Vec<Event>) {
--- a/src/policy/admission/decision.rs
+++ b/src/policy/admission/decision.rs
@@ -1,21 +1,21 @@
-//! What admission decides.
+//! The decisions of admission.
 
 use tokio::time::Instant;
 
 use super::{CallToken, Shed};
 
-/// What is done with a call that arrives.
+/// The decision on an arriving call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// It starts at once.
     Start,
-    /// It waits until then at the longest; an [`Event`] will tell its end.
+    /// It is queued until then at the longest; an [`Event`] reports how its wait ends.
     Wait(Instant),
     /// It is shed at once.
     Shed(Shed),
 }
 
-/// What became of a call that waited.
+/// How the wait of a queued call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// It starts now.
--- a/src/policy/admission/downstream.rs
+++ b/src/policy/admission/downstream.rs
@@ -1,4 +1,4 @@
-//! The level that services further down a chain impose on this one.
+//! The levels that downstream services impose on this one.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use super::class_shares::ClassShares;
 use crate::model::{ClassRank, Demand, Level, RankSet, ServiceName};
 
-/// What a call met at a service that it called onwards.
+/// The outcome of an onward call to another service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnwardOutcome {
     /// The service.
     pub service: ServiceName,
-    /// What it demands now.
+    /// The levels that the service demands at present.
     pub demand: Demand,
-    /// Whether it refused.
+    /// Whether the service refused the call.
     pub refused: bool,
-    /// Whether the call ended badly, by refusal or otherwise.
+    /// Whether the call failed, by refusal or otherwise.
     pub failed: bool,
 }
 
@@ -30,19 +30,19 @@
     callers: ClassShares,
 }
 
-/// Learns below which level calls would fail further down.
+/// Tracks the level below which calls would fail downstream.
 ///
-/// Each answer to an onward call tells what the service called demands now.
-/// It counts for a class only if many of its calls call the service, once one
-/// of them has failed since the service refused, and until one was answered all
-/// the same; so work that does not depend on the refusing service goes on.
+/// Each answer to an onward call carries the levels that the called service demands.
+/// They apply to a class only if many of its calls use the service, and only from a
+/// call that failed after the service had refused until one that was answered in
+/// spite of a refusal. Calls that don't depend on the service are thus not refused.
 #[derive(Debug, Default)]
 pub struct DownstreamLevels {
     services: BTreeMap<ServiceName, ServiceLevels>,
 }
 
 impl DownstreamLevels {
-    /// Takes note of what a call of `rank` met, and how it ended.
+    /// Records the onward outcomes of a call of `rank`, and whether it was answered.
     pub fn record(
         &mut self,
         now: Instant,
@@ -74,7 +74,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the highest level that any service demands, and of whom.
+    /// Returns the highest level that any service demands, and of which classes.
     pub fn highest(&self, now: Instant) -> (Level, RankSet) {
         self.services
             .values()
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the classes that cannot do without the service.
+    /// Returns the classes that depend on the service.
     fn dependents(&self) -> RankSet {
         self.needed_by.both(self.callers.frequent())
     }
--- a/src/policy/admission/fair.rs
+++ b/src/policy/admission/fair.rs
@@ -1,4 +1,4 @@
-//! A queue that shares the slots' time among the workspaces that compete.
+//! A queue that shares slot time among competing workspaces.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use super::{CallToken, Outcome, QueuedCall, UsageTable, Weights};
 use crate::model::{ClassRank, WorkspaceId};
 
-/// How often accounts that are no longer used are looked for.
+/// How often idle accounts are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a started call was charged.
+/// What a started call was charged in advance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotCharge {
     rank: ClassRank,
@@ -21,13 +21,13 @@
     epoch: u32,
 }
 
-/// A queue that shares the slots' time among the workspaces that compete.
+/// A queue that shares slot time among competing workspaces.
 ///
-/// It answers one workspace that asks for several times its usual where slots
-/// are short: the others keep what they ask for up to their part, by time and
-/// not by calls, so that long calls are no way to a greater part. Classes stay
-/// strict: the calls of a more important one go first, whoever they are for.
-/// Within a workspace the order is that of [`super::PriorityQueue`].
+/// When one workspace sends several times its usual load and slots are short, the
+/// others still get what they ask for, up to their share. Shares are of time, not
+/// of calls, so long calls gain nothing. Classes stay strict: calls of a more
+/// important class start first, whatever their workspace. Within a workspace the
+/// order is that of [`super::PriorityQueue`].
 #[derive(Debug)]
 pub struct FairQueue {
     weights: Weights,
@@ -40,7 +40,7 @@
 }
 
 impl FairQueue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(now: Instant, weights: Weights) -> Self {
         Self {
             weights,
@@ -53,24 +53,24 @@
         }
     }
 
-    /// Takes changed weights.
+    /// Applies changed weights.
     pub fn set_weights(&mut self, weights: Weights) {
         let classes = self.classes.values_mut();
         classes.for_each(|class| class.set_weights(&weights));
         self.weights = weights;
     }
 
-    /// Returns the number of calls that wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Tells whether no call waits.
+    /// Returns whether no call is queued.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// Takes note of a call that may start or wait.
+    /// Records the arrival of a call that is to be started or queued.
     pub fn record_arrival(&mut self, now: Instant, call: &QueuedCall) {
         self.sweep(now);
         let weight = self.weights.of(call.workspace);
@@ -87,15 +87,15 @@
         class.push(now, call, weight);
     }
 
-    /// Takes the call that starts next.
+    /// Removes and returns the call that starts next.
     pub fn pop_first(&mut self) -> Option<QueuedCall> {
         let call = self.classes.values_mut().find_map(FairClass::pop_first)?;
         self.locations.remove(&call.token);
         Some(call)
     }
 
-    /// Takes a call out to make room for another one; `None` if it is the
-    /// `arriving` one that there is no room for.
+    /// Evicts a call to make room for `arriving`; returns `None` if it is `arriving`
+    /// that has to be shed.
     pub fn make_room(&mut self, arriving: &QueuedCall) -> Option<QueuedCall> {
         let rank = arriving.priority.rank();
         let mut classes = self.classes.iter_mut().rev();
@@ -109,13 +109,13 @@
         Some(evicted)
     }
 
-    /// Takes out the call named `token`.
+    /// Removes the call with `token`.
     pub fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         let (rank, workspace) = self.locations.remove(&token)?;
         self.classes.get_mut(&rank)?.remove(workspace, token)
     }
 
-    /// Takes out all calls whose wait has ended.
+    /// Removes all calls whose wait has expired.
     pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         let classes = self.classes.values_mut().rev();
         let expired: Vec<_> = classes.flat_map(|class| class.take_expired(now)).collect();
@@ -125,14 +125,14 @@
         expired
     }
 
-    /// Takes out all calls.
+    /// Removes all calls.
     pub fn drain(&mut self) -> Vec<QueuedCall> {
         self.locations.clear();
         let classes = self.classes.values_mut().rev();
         classes.flat_map(FairClass::drain).collect()
     }
 
-    /// Charges a call that starts what calls of its workspace took lately.
+    /// Charges a starting call the recent mean slot time of its workspace's calls.
     pub fn charge(&mut self, call: &QueuedCall) -> SlotCharge {
         let rank = call.priority.rank();
         let class = self.classes.entry(rank).or_default();
@@ -144,9 +144,10 @@
         }
     }
 
-    /// Corrects the charge of a call to what it took.
+    /// Replaces the charge of an ended call by the slot time that it used.
     ///
-    /// Time in which the backend server answered nobody is charged to nobody.
+    /// Time after the backend server's last answer or refusal is not charged: a
+    /// server that hangs holds slots through no fault of the workspace.
     pub fn settle(&mut self, now: Instant, charge: SlotCharge, started: Instant, outcome: Outcome) {
         let answered = outcome == Outcome::Answered;
         if outcome != Outcome::Failed {
@@ -168,19 +169,19 @@
         }
     }
 
-    /// Returns what each workspace had of the slots.
+    /// Returns the usage by workspace.
     pub fn usage(&mut self) -> &mut UsageTable {
         &mut self.usage
     }
 
-    /// Forgets all charges, since the backend server has started anew.
+    /// Discards all charges after a restart of the backend server.
     pub fn forget(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
         self.last_answer = None;
         self.classes.values_mut().for_each(FairClass::reset);
     }
 
-    /// Returns the number of accounts that are kept.
+    /// Returns the number of accounts.
     pub fn accounts(&self) -> usize {
         self.classes.values().map(FairClass::len).sum()
     }
--- a/src/policy/admission/fair_class.rs
+++ b/src/policy/admission/fair_class.rs
@@ -1,4 +1,4 @@
-//! The workspaces that compete within one class.
+//! Fair queueing of the workspaces within one class.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,19 +9,19 @@
 use super::{CallToken, QueuedCall, Weights};
 use crate::model::WorkspaceId;
 
-/// Expected slot time in seconds before any call was answered; it only has to be
-/// the same for all.
+/// Expected slot time in seconds before any call was answered; its value doesn't
+/// matter, as it is the same for all workspaces.
 const INITIAL_ESTIMATE: f64 = 0.05;
 /// Weight of one call in the moving average of slot time.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Accounts above which idle ones are forgotten at once.
+/// Number of accounts above which idle ones are removed without delay.
 const IDLE_FLOW_LIMIT: usize = 1024;
 
-/// The workspaces that compete within one class, by start-time fair queueing.
+/// Start-time fair queueing of the workspaces within one class.
 ///
-/// Each call is charged to its workspace; the call of the workspace that was
-/// charged least by its weight starts next. The clock is the greatest charge at
-/// which a call has started: whoever comes begins there.
+/// Each call is charged to its workspace; the workspace with the least charge by
+/// weight, its start tag, starts the next call. Virtual time is the greatest start
+/// tag of a call so far, and the tag at which new workspaces begin.
 #[derive(Debug)]
 pub(super) struct FairClass {
     virtual_time: f64,
@@ -40,21 +40,21 @@
 }
 
 impl FairClass {
-    /// Tells whether any call waits.
+    /// Returns whether any call is queued.
     pub(super) fn is_waiting(&self) -> bool {
         self.flows.values().any(|flow| !flow.calls.is_empty())
     }
 
-    /// Returns the number of accounts that are kept.
+    /// Returns the number of accounts.
     pub(super) fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Takes note of a call that arrives.
+    /// Records an arriving call.
     pub(super) fn record_arrival(&mut self, now: Instant, call: &QueuedCall, weight: f64) {
-        let (clock, mean) = (self.virtual_time, self.mean_time);
+        let (virtual_time, mean) = (self.virtual_time, self.mean_time);
         self.flow(now, call, weight)
-            .record_arrival(now, clock, mean);
+            .record_arrival(now, virtual_time, mean);
     }
 
     /// Adds a call.
@@ -67,7 +67,7 @@
         self.flows.entry(call.workspace).or_insert_with(new)
     }
 
-    /// Takes the call that starts next.
+    /// Removes and returns the call that starts next.
     pub(super) fn pop_first(&mut self) -> Option<QueuedCall> {
         let waiting = self.flows.values_mut();
         let waiting = waiting.filter(|flow| !flow.calls.is_empty());
@@ -78,8 +78,8 @@
         next?.calls.pop_first()
     }
 
-    /// Takes out the least important call of the workspace that is furthest over
-    /// its share; `None` if that is the call `arriving`.
+    /// Evicts the least important call of the workspace that is furthest over its
+    /// share; returns `None` if that is `arriving`.
     pub(super) fn evict(&mut self, arriving: Option<&QueuedCall>) -> Option<QueuedCall> {
         let mean = self.mean_time;
         let candidates = self.flows.iter_mut().filter_map(|(id, flow)| {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Charges a call that starts; returns the seconds charged.
+    /// Charges a starting call and returns the charged seconds.
     pub(super) fn charge(&mut self, call: &QueuedCall) -> f64 {
         let Some(flow) = self.flows.get_mut(&call.workspace) else {
             return 0.0;
@@ -109,7 +109,7 @@
         estimate
     }
 
-    /// Corrects the charge of a call that ended.
+    /// Replaces the charge of an ended call by the slot time that it used.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes out a call.
+    /// Removes the call with `token`.
     pub(super) fn remove(
         &mut self,
         workspace: Option<WorkspaceId>,
@@ -136,7 +136,7 @@
         self.flows.get_mut(&workspace)?.calls.remove(token)
     }
 
-    /// Takes out all calls whose wait has ended.
+    /// Removes all calls whose wait has expired.
     pub(super) fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         let flows = self.flows.values_mut();
         flows
@@ -144,13 +144,13 @@
             .collect()
     }
 
-    /// Takes out all calls.
+    /// Removes all calls.
     pub(super) fn drain(&mut self) -> Vec<QueuedCall> {
         let flows = self.flows.values_mut();
         flows.flat_map(|flow| flow.calls.drain()).collect()
     }
 
-    /// Forgets the accounts that are no longer used.
+    /// Removes accounts that have been idle; all idle ones if there are too many.
     pub(super) fn remove_idle(&mut self, now: Instant) {
         self.flows.retain(|_, flow| !flow.has_expired(now));
         if self.flows.len() > IDLE_FLOW_LIMIT {
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Takes changed weights.
+    /// Applies changed weights.
     pub(super) fn set_weights(&mut self, weights: &Weights) {
         for (id, flow) in &mut self.flows {
             flow.weight = weights.of(*id);
         }
     }
 
-    /// Forgets all charges.
+    /// Discards all charges; queued calls are kept.
     pub(super) fn reset(&mut self) {
         self.flows.retain(|_, flow| !flow.calls.is_empty());
         self.flows.values_mut().for_each(Flow::reset);
@@ -174,7 +174,7 @@
     }
 }
 
-/// The slot time of a call that ended, in seconds.
+/// The estimated and the actual slot time of an ended call, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SettledCharge {
     pub(super) estimate: f64,
--- a/src/policy/admission/last_level.rs
+++ b/src/policy/admission/last_level.rs
@@ -1,4 +1,4 @@
-//! What an entry has heard of a level elsewhere.
+//! The last known level of another guard or service.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 
 use crate::model::Level;
 
-/// How long a level holds in full after it was heard.
+/// How long a level applies in full after it was received.
 const FRESH_TIME: Duration = Duration::from_millis(150);
 /// Time in which an older level falls by one class.
 const CLASS_DECAY_TIME: Duration = Duration::from_millis(100);
 
-/// The last level heard, which falls as it ages.
+/// The last known level, which falls with age.
 ///
-/// When nothing is sent, no answers bring news; ageing lets calls through
-/// again by itself, the most important first.
+/// While no calls are sent, no answers bring updates. Ageing lets calls through again,
+/// the most important first.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LastLevel {
     last: Option<(Level, Instant)>,
 }
 
 impl LastLevel {
-    /// Takes note of a level.
+    /// Records a received level.
     pub fn record(&mut self, now: Instant, level: Level) {
         self.last = Some((level, now));
     }
 
-    /// Tells whether a level was heard so lately that it holds in full.
+    /// Returns whether a level was received so recently that it applies in full.
     pub fn is_fresh(&self, now: Instant) -> bool {
         self.last
             .is_some_and(|(_, at)| now.saturating_duration_since(at) <= FRESH_TIME)
     }
 
-    /// Returns the level that holds for a call. For protected classes only
-    /// fresh news counts, since older news may refuse them while less important
-    /// work is admitted again.
+    /// Returns the level that applies to a call. For protected classes only a fresh
+    /// level counts: an older one could refuse them while less important calls are
+    /// admitted again.
     pub fn level(&self, now: Instant, protected: bool) -> Level {
         let Some((level, at)) = self.last else {
             return Level::OPEN;
--- a/src/policy/admission/limit.rs
+++ b/src/policy/admission/limit.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit of calls in flight at one backend server.
+//! The adaptive concurrency limit of one backend server.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 use crate::model::Slots;
 
 /// Share of the slots at which a cold backend server starts: cold servers take
-/// about twice as long, and refuse what is too much.
+/// about twice as long per call, and refuse calls that they have no room for.
 const COLD_SHARE: f64 = 0.5;
 /// Shortest time between two decreases.
 const MIN_DECREASE_GAP: Duration = Duration::from_millis(20);
 /// Weight of one call in the moving average of latency.
 const LATENCY_WEIGHT: f64 = 0.05;
 
-/// How a call at the backend server ended, so far as the limit cares.
+/// How a call at the backend server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The backend server answered it.
     Answered,
-    /// The backend server itself refused it for want of capacity.
+    /// The backend server refused it for lack of capacity.
     Refused,
-    /// It failed in a way that says nothing of capacity.
+    /// It failed for a reason unrelated to capacity.
     Failed,
 }
 
-/// Adapts how many calls may be in flight; never above the slots.
+/// Adapts how many calls may be in flight, up to the number of slots.
 ///
-/// It grows by one for each answer while cold and by one for each full round
-/// of answers later; when the backend server sheds, it shrinks to what was in
-/// flight then.
+/// It grows by one for each answer while cold, and by one for each full round of
+/// answers afterwards. When the backend server refuses a call, the limit falls to
+/// the calls that were in flight besides it.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     ceiling: f64,
@@ -40,7 +40,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Makes the limit of a backend server that has been running.
+    /// Creates the limit of a backend server that has been running.
     pub fn warm(slots: Slots) -> Self {
         let ceiling = f64::from(slots.get());
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Makes the limit of a backend server that has just started.
+    /// Creates the limit of a backend server that has just started.
     pub fn cold(slots: Slots) -> Self {
         let mut limit = Self::warm(slots);
         limit.current = (limit.ceiling * COLD_SHARE).max(1.0);
@@ -60,8 +60,8 @@
         limit
     }
 
-    /// Takes a changed number of slots; a limit that was at its ceiling stays
-    /// there.
+    /// Applies a changed number of slots; a limit at its ceiling follows the new
+    /// ceiling.
     pub fn resize(&mut self, slots: Slots) {
         let at_ceiling = self.current >= self.ceiling;
         self.ceiling = f64::from(slots.get());
@@ -75,12 +75,12 @@
         self.current.max(1.0) as usize
     }
 
-    /// Returns the mean latency of answers, if any was seen.
+    /// Returns the mean latency of answers, if there was any.
     pub fn latency(&self) -> Option<Duration> {
         self.latency.map(Duration::from_secs_f64)
     }
 
-    /// Takes note of a call that ended after `latency` with `in_flight` others.
+    /// Records a call that ended after `latency`; `in_flight` includes the call.
     pub fn record(&mut self, now: Instant, outcome: Outcome, latency: Duration, in_flight: usize) {
         match outcome {
             Outcome::Answered => self.record_answer(latency, in_flight),
@@ -93,7 +93,7 @@
         let secs = latency.as_secs_f64();
         let mean = self.latency.unwrap_or(secs);
         self.latency = Some(mean + (secs - mean) * LATENCY_WEIGHT);
-        // An unused limit says nothing of what the server could bear.
+        // An answer at low concurrency is no evidence for a higher limit.
         if (in_flight as f64) < self.current * 0.5 {
             return;
         }
@@ -109,7 +109,7 @@
         if self.next_decrease.is_some_and(|until| now < until) {
             return;
         }
-        // What was in flight besides the refused call is what it can bear.
+        // The server can run the calls that were in flight besides the refused one.
         self.current = self.current.min(in_flight as f64 - 1.0).max(1.0);
         let round = self
             .latency()
--- a/src/policy/admission/load.rs
+++ b/src/policy/admission/load.rs
@@ -1,4 +1,4 @@
-//! The load of one guard, for people.
+//! The load of one guard, for the log.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 pub struct GuardLoad {
     /// Calls in flight at the backend server.
     pub running: usize,
-    /// Calls that wait.
+    /// Queued calls.
     pub waiting: usize,
-    /// Most calls that may be in flight.
+    /// The concurrency limit.
     pub limit: usize,
-    /// Calls that were started.
+    /// Started calls.
     pub started: u64,
-    /// Calls that were refused.
+    /// Shed calls.
     pub shed: u64,
-    /// The level below which calls are refused at the source.
+    /// The level below which entries refuse calls to this guard.
     pub level: Level,
-    /// The level that services further down demand.
+    /// The level that downstream services demand.
     pub downstream: Level,
-    /// Mean time of an answer.
+    /// Mean latency of answers.
     pub latency: Duration,
-    /// Calls a second that the backend server takes, if it named a rate.
+    /// Calls a second that the backend server has requested, if any.
     pub rate: Option<Rate>,
 }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Which calls a guard starts, lets wait and sheds, and what entries shed early.
+//! Admission control: which calls a guard starts, queues and sheds, and which levels
+//! entries learn from it to shed calls early.
 
 mod class_shares;
 mod control;
--- a/src/policy/admission/queue.rs
+++ b/src/policy/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of calls that wait for a slot.
+//! The priority queue of calls that wait for a slot.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,32 +6,32 @@
 
 use crate::model::{Priority, WorkspaceId};
 
-/// Names a call within one guard.
+/// Identifies a call within one guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallToken(pub u64);
 
-/// A call that waits.
+/// A call that asks for admission, and waits in the queue if need be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedCall {
-    /// The name of the call.
+    /// Identifies the call.
     pub token: CallToken,
-    /// Its place in the order of admission.
+    /// Its rank in the order of admission.
     pub priority: Priority,
-    /// The workspace that it is for, if known.
+    /// The workspace that it is made for, if known.
     pub workspace: Option<WorkspaceId>,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// When the wait ends at the latest.
+    /// When it is shed if it has not started.
     pub expires: Instant,
-    /// Whether it waits for the rate that the backend server named; it is
-    /// better off elsewhere if not.
+    /// Whether it may wait for the rate that the backend server requested; if not,
+    /// it is refused at once, so that it can go to another server.
     pub may_wait: bool,
 }
 
-/// Orders by priority, then newest first.
+/// Orders by priority; among equals the newest is the greatest.
 type Key = (Priority, u64);
 
-/// A queue that gives the most important call first and, among equals, the newest.
+/// A queue that yields the most important call first and, among equals, the newest.
 #[derive(Debug, Default)]
 pub struct PriorityQueue {
     calls: BTreeMap<Key, QueuedCall>,
@@ -40,12 +40,12 @@
 }
 
 impl PriorityQueue {
-    /// Returns the number of calls that wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Tells whether no call waits.
+    /// Returns whether no call is queued.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -63,14 +63,14 @@
         self.calls.values().next_back()
     }
 
-    /// Takes the most important call.
+    /// Removes and returns the most important call.
     pub fn pop_first(&mut self) -> Option<QueuedCall> {
         let (_, call) = self.calls.pop_last()?;
         self.keys.remove(&call.token);
         Some(call)
     }
 
-    /// Takes the least important call.
+    /// Removes and returns the least important call.
     pub fn pop_least(&mut self) -> Option<QueuedCall> {
         let (_, call) = self.calls.pop_first()?;
         self.keys.remove(&call.token);
@@ -82,18 +82,18 @@
         self.calls.values().next()
     }
 
-    /// Returns the number of calls that go before a new one of `priority`.
+    /// Returns the number of calls that would start before a new one of `priority`.
     pub fn count_ahead(&self, priority: Priority) -> usize {
         self.calls.range((priority, u64::MAX)..).count()
     }
 
-    /// Takes out the call named `token`.
+    /// Removes the call with `token`.
     pub fn remove(&mut self, token: CallToken) -> Option<QueuedCall> {
         let key = self.keys.remove(&token)?;
         self.calls.remove(&key)
     }
 
-    /// Takes out all calls whose wait has ended.
+    /// Removes all calls whose wait has expired.
     pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedCall> {
         let expired: Vec<CallToken> = self
             .calls
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// Takes out all calls.
+    /// Removes all calls.
     pub fn drain(&mut self) -> Vec<QueuedCall> {
         self.keys.clear();
         std::mem::take(&mut self.calls).into_values().collect()
--- a/src/policy/admission/rate_limited.rs
+++ b/src/policy/admission/rate_limited.rs
@@ -1,7 +1,7 @@
-//! Admission to a backend server that has named how many calls a second it takes.
+//! Admission to a backend server that has requested a rate of calls.
 //!
-//! Calls that find no room are sent away at once, since other servers may have
-//! some. Those that come back since none has wait in the order of importance.
+//! Calls above the rate are refused at once, since other servers may have capacity
+//! for them. Calls that no other server took return, and are queued by priority.
 
 use std::time::Duration;
 
@@ -11,45 +11,46 @@
 use super::{Admission, Decision, Event, QueuedCall, Shed};
 use crate::model::{NamedRate, Rate};
 
-/// Part of the time left that a call may wait whose class is not protected:
-/// callers' objectives are a third to a fifth of what they wait at most, and an
-/// answer past them is worth less than the return of the caller.
+/// Calls of unprotected classes wait for one part in this many of their time left.
+/// Callers' latency objectives are a third to a fifth of their timeout, and a retry
+/// by the caller is worth more than an answer past the objective.
 const WAIT_DIVISOR: u32 = 4;
-/// Calls that may wait for each that may run.
+/// Calls that may be queued for each call that may run.
 const MAX_QUEUE_PER_SLOT: usize = 4;
-/// Time that a full queue takes to be served; the level aims at half of it, well
-/// within callers' objectives.
+/// Time in which a full queue should be served. The threshold aims at half of it,
+/// well within callers' latency objectives.
 const QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Shortest time between two looks at calls that wait.
+/// Shortest time between two checks of the queue.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Spread of the time after which refused callers may come back, as a multiple
-/// of the time in which those before them are served.
+/// Spread of the `Retry-After` of refused callers, as a multiple of the time in which
+/// the calls before them are served.
 const RETRY_SPREAD: std::ops::Range<f64> = 1.0..1.5;
 
 impl Admission {
-    /// Takes what an answer to a call says that was sent at `sent`; returns
-    /// whether that changes the rate.
+    /// Records the rate in the answer to a call that was sent at `sent`; returns
+    /// whether the rate in force changes.
     pub fn record_rate(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
         self.throttle.record(now, sent, rate)
     }
 
-    /// Takes a rate that another daemon heard of; returns whether it is news.
+    /// Applies a rate that another daemon relayed; returns whether the rate in force
+    /// changes.
     pub fn adopt_rate(&mut self, now: Instant, rate: Rate) -> bool {
         self.throttle.adopt(now, rate)
     }
 
-    /// Returns the rate that the backend server named, if it holds.
+    /// Returns the requested rate in force, if any.
     pub fn rate(&self) -> Option<Rate> {
         self.throttle.rate()
     }
 
-    /// Returns when calls may start next that wait for the server's rate.
+    /// Returns when to check next for queued calls that the rate lets start.
     pub fn next_start(&self, now: Instant) -> Option<Instant> {
         let waits = self.throttle.rate().is_some() && !self.queue.is_empty();
         waits.then(|| now + self.throttle.delay(now, 0).max(MIN_CHECK_INTERVAL))
     }
 
-    /// Returns how long a call of the least importance waits for the rate.
+    /// Returns how long a call of least importance would wait for the rate.
     pub fn rate_delay(&self, now: Instant) -> Duration {
         match self.throttle.rate() {
             Some(_) => self.throttle.delay(now, self.queue.len()),
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Returns when a caller may come back that the rate left no room for.
+    /// Returns when a caller may retry that was refused for the rate.
     pub fn rate_retry_after<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
         self.rate_delay(now).mul_f64(rng.random_range(RETRY_SPREAD))
     }
 
-    /// Tells whether the rate lets no call start now.
+    /// Returns whether the rate lets no call start now.
     pub(super) fn is_rate_limited(&self, now: Instant) -> bool {
         !self.throttle.is_open(now)
     }
 
-    /// Returns the calls that fill the queue.
+    /// Returns the queue length that the rate allows; unbounded without a rate.
     pub(super) fn rate_queue_len(&self) -> usize {
         let Some(rate) = self.throttle.rate() else {
             return usize::MAX;
@@ -75,8 +76,8 @@
         (rate.get() * QUEUE_DRAIN_TIME.as_secs_f64()) as usize
     }
 
-    /// Lets a call wait if it can start in time, and sheds those that no longer
-    /// can since it goes before them.
+    /// Queues a call if it can start in time, and sheds the calls behind it that no
+    /// longer can.
     pub(super) fn enqueue_rate_limited(
         &mut self,
         now: Instant,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Returns until when a call may wait.
+    /// Returns when a call has to start at the latest.
     fn latest_start(&self, now: Instant, call: &QueuedCall) -> Instant {
         let left = call.deadline.saturating_duration_since(now);
         let spare = left.saturating_sub(self.min_run_time());
--- a/src/policy/admission/report.rs
+++ b/src/policy/admission/report.rs
@@ -1,4 +1,4 @@
-//! What admission tells of itself.
+//! Status, load and retry delays of one guard.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::{Admission, GuardLoad};
 use crate::model::{Demand, GuardNews};
 
-/// Mean of the spread of `Retry-After` at no excess.
+/// Mean `Retry-After` while demand doesn't exceed capacity.
 const RETRY_BASE: Duration = Duration::from_secs(1);
-/// Longest mean of `Retry-After`.
+/// Longest mean `Retry-After`.
 const RETRY_MAX: Duration = Duration::from_secs(30);
 
 impl Admission {
-    /// Tells whether new calls are refused since the backend server leaves.
+    /// Returns whether new calls are refused because the backend server is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
@@ -40,17 +40,17 @@
         self.running.len()
     }
 
-    /// Returns the number of calls that wait.
+    /// Returns the number of queued calls.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the present limit of calls in flight.
+    /// Returns the present concurrency limit.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Returns what answers carry of this guard.
+    /// Returns the guard's status for answers to carry.
     pub fn status(&self, now: Instant) -> GuardNews {
         let (below, classes) = self.downstream.highest(now);
         let load = self.running.len() + self.queue.len();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns when a refused caller may come back, spread at random.
+    /// Returns when a refused caller may retry, spread at random.
     pub fn retry_after<R: Rng>(&self, rng: &mut R) -> Duration {
         let mean = RETRY_BASE.mul_f64(self.threshold.excess()).min(RETRY_MAX);
         mean.mul_f64(rng.random_range(0.5..1.5))
--- a/src/policy/admission/shed.rs
+++ b/src/policy/admission/shed.rs
@@ -1,26 +1,26 @@
-//! Why a call was shed.
+//! The reason for which a call was shed.
 
 use std::fmt;
 
-/// Why a guard or an entry did not start a call.
+/// The reason for which a guard or an entry did not start a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Shed {
-    /// More important work filled the slots and the queue.
+    /// More important calls took the slots and the queue.
     Overload,
-    /// The backend server takes no more calls a second than it was given.
+    /// The rate that the backend server requested is used up.
     Limited,
-    /// A service further down the chain refuses calls of this level.
+    /// A downstream service refuses calls of this level.
     Downstream,
     /// The call could no longer be answered before its deadline.
     Deadline,
-    /// The caller went away.
+    /// The caller gave up.
     Cancelled,
-    /// The backend server takes no new calls.
+    /// The backend server is leaving and accepts no new calls.
     Leaving,
 }
 
 impl Shed {
-    /// Returns the text that stands in answers, logs and metrics.
+    /// Returns the name used in answers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Overload => "overload",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Tells whether the shedding is a sign of more demand than capacity.
+    /// Returns whether demand exceeded capacity.
     pub const fn is_overload(self) -> bool {
         matches!(self, Self::Overload | Self::Limited | Self::Downstream)
     }
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -1,4 +1,4 @@
-//! The level below which a guard is shedding, computed from measured excess.
+//! The level below which a guard sheds calls, derived from arrivals and capacity.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -10,54 +10,54 @@
 
 /// Shortest window over which arrivals are counted.
 const MIN_WINDOW: Duration = Duration::from_millis(50);
-/// Longest window, for guards that see few calls.
+/// Longest window, for guards that receive few calls.
 const MAX_WINDOW: Duration = Duration::from_millis(250);
-/// The same where the backend server has named a rate, by which few calls start.
+/// Longest window while the backend server has requested a rate, as few calls start
+/// then.
 const RATE_LIMITED_WINDOW: Duration = Duration::from_secs(1);
-/// Calls that make a window long enough.
+/// Started calls that are enough to close a window.
 const WINDOW_CALLS: u32 = 20;
-/// Demand that is let through over the measured capacity, so that the queue
-/// does not run dry.
+/// Demand to admit as a multiple of the measured capacity; above 1, so that the
+/// queue does not run empty.
 const HEADROOM: f64 = 1.05;
-/// Share of the queue's distance from half full that one window makes up.
+/// Share of the queue's distance from half full that one window corrects.
 const QUEUE_CORRECTION: f64 = 0.2;
-/// What is left of the counts of earlier windows.
+/// Factor by which the counts of earlier windows decay at each new one.
 const COUNT_DECAY: f64 = 0.5;
-/// Count of a level below which it is forgotten: one arrival, ten windows ago.
+/// Count below which a level is dropped: one arrival, ten windows ago.
 const MIN_COUNT: f64 = 1.0 / 1024.0;
-/// Fewest levels of which the density of arrivals is judged, and most that
-/// are opened at once when nothing is known.
+/// Least number of levels that the size of an opening step is based on.
 const MIN_BAND: usize = Level::STEPS / 64;
-/// Share by which the open part of a class may grow at once: in a balance,
-/// and when far less is offered than can be served.
+/// Greatest opening step as a share of the open levels of a class.
 const OPEN_SHARE: f64 = 0.25;
+/// The same while demand is far below capacity.
 const FAST_OPEN_SHARE: f64 = 4.0;
-/// Share of the capacity below which far less is offered.
+/// Share of the target below which demand counts as far below capacity.
 const LOW_DEMAND_SHARE: f64 = 0.6;
 
-/// The state of the queue when a window closes.
+/// The state of the wait queue when a window closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backlog {
-    /// Calls that wait.
+    /// Queued calls.
     pub waiting: usize,
-    /// Calls that may wait.
+    /// Calls that the queue holds at most.
     pub max_waiting: usize,
-    /// Whether slots were free just now.
+    /// Whether the queue is empty and a call could start at once.
     pub idle: bool,
-    /// Whether calls start at a rate that the backend server named.
+    /// Whether the backend server has requested a rate.
     pub rate_limited: bool,
 }
 
 /// Counts arrivals by level and sets the level that admits what can be served.
 ///
-/// The level aims at a queue that is half full: then slots never idle, and
-/// little is shed here that others have worked for.
+/// The level aims at a queue that is half full: slots don't idle, and few calls are
+/// shed here after other services have already spent work on them.
 #[derive(Debug)]
 pub struct Threshold {
     level: Level,
-    /// Arrivals by level, of those levels at which calls arrived lately. A
-    /// window holds some tens of calls, so this is far shorter than all levels;
-    /// it is gone through whenever a window closes.
+    /// Decayed arrival counts of the levels with recent arrivals. It is walked
+    /// whenever a window closes; a window holds some tens of calls, so it has far
+    /// fewer entries than there are levels.
     arrivals: BTreeMap<usize, f64>,
     window_weight: f64,
     arrival_count: u32,
@@ -68,7 +68,7 @@
 }
 
 impl Threshold {
-    /// Makes a threshold that admits everything.
+    /// Creates a threshold that admits everything.
     pub fn new(now: Instant) -> Self {
         Self {
             level: Level::OPEN,
@@ -88,17 +88,17 @@
         self.arrival_count += 1;
     }
 
-    /// Counts a call that was started.
+    /// Counts a started call.
     pub fn record_start(&mut self) {
         self.start_count += 1;
     }
 
-    /// Counts a call that was shed for want of capacity.
+    /// Counts a call that was shed for lack of capacity.
     pub fn record_shed(&mut self) {
         self.shed_count += 1;
     }
 
-    /// Returns the level below which calls are being shed.
+    /// Returns the level below which calls are shed.
     pub fn level(&self) -> Level {
         self.level
     }
@@ -108,7 +108,7 @@
         self.excess
     }
 
-    /// Closes the window if it is long enough and sets the level anew.
+    /// Closes the window if it is long enough and updates the level.
     pub fn tick(&mut self, now: Instant, backlog: Backlog) {
         let age = now.saturating_duration_since(self.window_start);
         let idle = backlog.idle && self.shed_count == 0;
@@ -155,10 +155,10 @@
         self.level = Level::from_raw(raw.max(0.0) as u32);
     }
 
-    /// Returns how many levels to open so that about `target` is offered.
+    /// Returns how many levels to open so that about `target` calls are offered.
     ///
-    /// What stands below the level is not seen; it is taken to be as dense as
-    /// what stands above in the same class, and opened in bounded steps.
+    /// Arrivals below the level can't be observed. They are assumed to be as dense
+    /// as those above it in the same class, and steps are bounded.
     fn opening_step(&self, target: f64, offered: f64, idle: bool) -> f64 {
         let low = self.level.index();
         let open = self.level.class_end() - low;
@@ -175,17 +175,18 @@
         ((target - offered) / density).clamp(1.0, most)
     }
 
-    /// Returns the arrivals of one window at or above the level.
+    /// Returns the mean arrivals of a window at or above the level.
     fn offered(&self) -> f64 {
         self.arrivals_in(self.level.index()..Level::COUNT)
     }
 
-    /// Returns the arrivals of one window at some levels.
+    /// Returns the mean arrivals of a window at the given levels.
     fn arrivals_in(&self, levels: Range<usize>) -> f64 {
         let sum: f64 = self.arrivals.range(levels).map(|(_, count)| count).sum();
         sum / self.window_weight
     }
 
+    /// Returns the lowest level that admits no more than `target` calls a window.
     fn level_admitting(&self, target: f64) -> Level {
         let mut sum = 0.0;
         for (index, count) in self.arrivals.iter().rev() {
--- a/src/policy/admission/throttle.rs
+++ b/src/policy/admission/throttle.rs
@@ -1,4 +1,4 @@
-//! The rate of calls that a backend server in need takes.
+//! The rate of calls that an overloaded backend server has requested.
 
 use std::time::Duration;
 
@@ -6,49 +6,49 @@
 
 use crate::model::{NamedRate, Rate};
 
-/// Calls that may start at once after a pause, as the time in which the server
-/// takes so many; callers come in clumps.
+/// Size of a burst after a pause, as time at the requested rate; callers arrive in
+/// clusters.
 const BURST_TIME: Duration = Duration::from_millis(250);
-/// Fewest calls that may start at once.
+/// Least size of a burst.
 const MIN_BURST_CALLS: f64 = 1.0;
-/// Calls a second that go to a server which takes fewer or none: without any
-/// answer nobody hears that the need is over.
+/// Calls a second that are sent to a server that requests fewer or none: without
+/// any answer the end of its overload would go unnoticed.
 const MIN_CALL_RATE: f64 = 0.5;
 
-/// What the present run of the server named last.
+/// The rate that the present run of the server requested last.
 #[derive(Clone, Copy, Debug)]
 struct RateState {
     rate: Rate,
-    /// When it was heard.
+    /// When it was received.
     reported_at: Instant,
-    /// Calls that may start.
+    /// Calls that could start at `credited_at`.
     credit: f64,
-    /// When the credit was that.
+    /// When `credit` was computed.
     credited_at: Instant,
 }
 
-/// Bounds the calls a second to a server that has named how many it takes.
+/// Limits calls to the rate that a backend server has requested.
 ///
-/// A lower rate holds at once. A higher one, or none, counts only from an answer
-/// to a call that was sent after the present rate was heard, since answers
-/// overtake each other.
+/// A lower rate applies at once. A higher one, or the end of the limit, is accepted
+/// only from an answer to a call that was sent after the present rate was received,
+/// since answers may arrive out of order.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Throttle {
     state: Option<RateState>,
-    /// Whether the present run has said anything of it.
+    /// Whether the present run itself has reported a rate or the lack of one.
     has_report: bool,
 }
 
 impl Throttle {
-    /// Returns the rate that holds, if one was named.
+    /// Returns the rate in force, if any.
     pub fn rate(&self) -> Option<Rate> {
         self.state.map(|state| state.rate)
     }
 
-    /// Takes what an answer to a call says that was sent at `sent`; returns
-    /// whether that changes the rate.
+    /// Records the rate in the answer to a call that was sent at `sent`; returns
+    /// whether the rate in force changes.
     ///
-    /// What is no rate leaves things as they are.
+    /// An unreadable rate is ignored.
     pub fn record(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
         self.has_report |= rate != NamedRate::Unreadable;
         let is_newer = self.state.is_none_or(|state| sent >= state.reported_at);
@@ -63,8 +63,8 @@
         true
     }
 
-    /// Takes a rate that another daemon heard of, unless the server itself has
-    /// said something since; returns whether that changes the rate.
+    /// Applies a rate that another daemon relayed, unless the server itself has
+    /// reported already; returns whether the rate in force changes.
     pub fn adopt(&mut self, now: Instant, rate: Rate) -> bool {
         let is_new = !self.has_report && self.state.is_none();
         if is_new {
@@ -73,7 +73,7 @@
         is_new
     }
 
-    /// Forgets the rate, which belonged to an earlier run of the server.
+    /// Discards the rate of an earlier run of the server.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Returns the calls that may start now, where a rate holds.
+    /// Returns the calls that may start now, if a rate is in force.
     fn credit(&self, now: Instant) -> Option<f64> {
         let state = self.state?;
         let since = now.saturating_duration_since(state.credited_at);
@@ -96,12 +96,12 @@
         Some(grown.min(max_credit(state.rate)))
     }
 
-    /// Tells whether a call may start now.
+    /// Returns whether a call may start now.
     pub fn is_open(&self, now: Instant) -> bool {
         self.credit(now).is_none_or(|credit| credit >= 1.0)
     }
 
-    /// Takes note of a call that starts.
+    /// Records a starting call.
     pub fn record_start(&mut self, now: Instant) {
         let Some(credit) = self.credit(now) else {
             return;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns how long a call waits that `ahead` others go before.
+    /// Returns how long a call waits behind `ahead` others.
     pub fn delay(&self, now: Instant, ahead: usize) -> Duration {
         let (Some(state), Some(credit)) = (self.state, self.credit(now)) else {
             return Duration::ZERO;
@@ -122,11 +122,12 @@
     }
 }
 
-/// Returns the calls a second that go to a server which takes `rate`.
+/// Returns the calls a second that are sent to a server that requests `rate`.
 fn call_rate(rate: Rate) -> f64 {
     rate.get().max(MIN_CALL_RATE)
 }
 
+/// Returns the size of a burst at `rate`, in calls.
 fn max_credit(rate: Rate) -> f64 {
     (call_rate(rate) * BURST_TIME.as_secs_f64()).max(MIN_BURST_CALLS)
 }
--- a/src/policy/admission/usage_table.rs
+++ b/src/policy/admission/usage_table.rs
@@ -1,16 +1,16 @@
-//! What each workspace had of the slots, for the operator.
+//! Slot time and shed calls by workspace, for the operator.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::model::WorkspaceId;
 
-/// Workspaces that are counted; what has had the least makes way for another.
+/// Workspaces that are counted; the one with the least usage is dropped for a new one.
 const MAX_WORKSPACES: usize = 64;
-/// Workspaces that are shown.
+/// Workspaces that are reported.
 const TOP_WORKSPACES: usize = 16;
 
-/// What one workspace had of the slots.
+/// The slot time and shed calls of one workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Slot time of its calls.
@@ -25,14 +25,14 @@
     reported: Usage,
 }
 
-/// What each workspace had of the slots; the greatest only.
+/// The usage by workspace, limited to those that use most.
 #[derive(Debug, Default)]
 pub struct UsageTable {
     counts: BTreeMap<Option<WorkspaceId>, Count>,
 }
 
 impl UsageTable {
-    /// Counts slot time.
+    /// Adds slot time.
     pub fn add_time(&mut self, workspace: Option<WorkspaceId>, time: Duration) {
         self.count(workspace).total.time += time;
     }
@@ -59,7 +59,7 @@
         top_by_time(all.collect())
     }
 
-    /// Returns the same of the time since it was last asked.
+    /// Returns the same for the time since the last call of this method.
     pub fn take_recent(&mut self) -> Vec<(Option<WorkspaceId>, Usage)> {
         let lately = self.counts.iter_mut().map(|(id, count)| {
             let reported = std::mem::replace(&mut count.reported, count.total);
--- a/src/policy/admission/wait_queue.rs
+++ b/src/policy/admission/wait_queue.rs
@@ -1,16 +1,16 @@
-//! The calls that wait, shared among workspaces where these are declared.
+//! The wait queue of a guard, by priority or shared among workspaces.
 
 use tokio::time::Instant;
 
 use super::{CallToken, FairQueue, Outcome, PriorityQueue, QueuedCall, SlotCharge, Weights};
 use crate::model::Priority;
 
-/// The calls that wait.
+/// The wait queue, with or without sharing among workspaces.
 #[derive(Debug)]
 pub(super) enum WaitQueue {
-    /// In the order of importance alone.
+    /// Ordered by priority alone.
     ByPriority(PriorityQueue),
-    /// Shared among workspaces.
+    /// Slots are shared among workspaces.
     Fair(Box<FairQueue>),
 }
 
@@ -26,7 +26,8 @@
         self.len() == 0
     }
 
-    /// Shares from now on by these weights, or no longer.
+    /// Shares slot time by `weights`, or orders by priority alone if `None`; queued
+    /// calls are kept.
     pub(super) fn set_weights(&mut self, now: Instant, weights: Option<Weights>) {
         let next = match (&mut *self, weights) {
             (Self::Fair(queue), Some(weights)) => return queue.set_weights(weights),
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Takes a call out to make room for another one; `None` if it is the
-    /// `arriving` one that there is no room for.
+    /// Evicts a call to make room for `arriving`; returns `None` if it is `arriving`
+    /// that has to be shed.
     pub(super) fn make_room(&mut self, arriving: &QueuedCall) -> Option<QueuedCall> {
         match self {
             Self::ByPriority(queue) => match queue.least() {
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Returns the number of calls that go before a new one of `priority`; all
-    /// where the order is not by priority alone.
+    /// Returns the number of calls that would start before a new one of `priority`;
+    /// a fair queue counts all, as its order doesn't depend on priority alone.
     pub(super) fn count_ahead(&self, priority: Priority) -> usize {
         match self {
             Self::ByPriority(queue) => queue.count_ahead(priority),
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Takes out the least important call if `is_late` says so of it.
+    /// Removes the least important call if `is_late` holds for it; never from a fair
+    /// queue.
     pub(super) fn pop_least_if(
         &mut self,
         is_late: impl Fn(&QueuedCall) -> bool,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Returns what is kept of workspaces, where they share.
+    /// Returns the fair queue if slot time is shared among workspaces.
     pub(super) fn fair_queue(&mut self) -> Option<&mut FairQueue> {
         match self {
             Self::ByPriority(_) => None,
--- a/src/policy/admission/weights.rs
+++ b/src/policy/admission/weights.rs
@@ -1,18 +1,18 @@
-//! What part of the slots' time is due to each workspace.
+//! The weights by which workspaces share slot time.
 
 use std::collections::HashMap;
 
 use crate::model::{Rate, WorkspaceId};
 
-/// Least and greatest weight: no rate is declared so low that its workspace
-/// would starve beside the others.
+/// Least and greatest weight. The lower bound keeps a workspace with a very low rate
+/// from starving beside the others.
 const WEIGHT_RANGE: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 /// The weight of a workspace without a rate.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Weights of workspaces, as their declared rates are to each other.
+/// Weights of workspaces, in proportion to their declared rates.
 ///
-/// The mean of the rates weighs 1, as does whatever has no rate.
+/// The mean rate has the weight 1, as have workspaces without a rate.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Weights {
     by_id: HashMap<WorkspaceId, f64>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the weight of a workspace, or of the calls that have none.
+    /// Returns the weight of a workspace, or of calls without a workspace.
     pub fn of(&self, workspace: Option<WorkspaceId>) -> f64 {
         let weight = workspace.and_then(|id| self.by_id.get(&id));
         weight.copied().unwrap_or(DEFAULT_WEIGHT)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Pure decisions: time and random numbers are passed in, nothing is sent.
+//! Decision logic without I/O: time and random numbers are passed in.
 
 pub mod admission;
 pub mod crash;
