--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at one guard.
+//! Admission control of one guard.
 
 #![allow(missing_docs)]
 
@@ -39,17 +39,17 @@
     Admission::new(now, settings)
 }
 
-/// At every moment of random work: when a protected call is shed for want of
-/// capacity, nothing less important waits or was started while it waited.
+/// Under random load, a protected call is shed for lack of capacity only if no less
+/// important call is queued or was started while it was queued.
 #[test]
-fn admission_protected_last() {
+fn admission_sheds_protected_last() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut now = Instant::now();
         let mut guard = guard(now, 8);
         let mut waiting: Vec<(CallToken, usize, u64)> = Vec::new();
         let mut running: Vec<CallToken> = Vec::new();
-        let mut lesser_started = 0;
+        let mut last_lesser_start = 0;
         for step in 1..3000u64 {
             now += Duration::from_micros(rng.random_range(1..1500));
             let rank = rng.random_range(0..4);
@@ -80,12 +80,12 @@
                     Event::Start(_) => {
                         running.push(token);
                         if rank > 1 {
-                            lesser_started = step;
+                            last_lesser_start = step;
                         }
                     }
                     Event::Shed(_, Shed::Overload) if rank <= 1 => {
                         assert!(waiting.iter().all(|(_, rank, _)| *rank <= 1), "seed {seed}");
-                        assert!(lesser_started <= since, "seed {seed}");
+                        assert!(last_lesser_start <= since, "seed {seed}");
                     }
                     Event::Shed(..) => {}
                 }
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn leave_sheds_waiting_and_new() {
+fn leave_sheds_queued_and_new() {
     let now = Instant::now();
     let mut guard = guard(now, 1);
     let second = Duration::from_secs(1);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn limit_follows_a_change_of_slots() {
+fn limit_follows_slots() {
     let mut limit = ConcurrencyLimit::warm(Slots::new(1));
     limit.resize(Slots::new(75));
     assert_eq!(limit.get(), 75);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn limit_falls_to_what_was_in_flight() {
+fn limit_falls_to_calls_in_flight() {
     let now = Instant::now();
     let mut limit = ConcurrencyLimit::warm(Slots::new(100));
     limit.record(now, Outcome::Refused, Duration::from_millis(1), 31);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn threshold_closes_under_excess_and_opens_again() {
+fn threshold_closes_on_excess_and_reopens() {
     let mut now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut threshold = Threshold::new(now);
@@ -172,27 +172,28 @@
     assert_eq!(threshold.level(), Level::OPEN);
 }
 
-/// A level opens by itself when no answers bring news.
+/// A level that is not updated by answers falls with age.
 #[rstest]
 #[case::fresh(100, false, true)]
 #[case::fresh_protected(100, true, true)]
 #[case::old_protected(200, true, false)]
 #[case::old(10_000, false, false)]
-fn heard_ages(#[case] ms: u64, #[case] protected: bool, #[case] refuses: bool) {
+fn last_level_ages(#[case] ms: u64, #[case] protected: bool, #[case] refuses: bool) {
     let now = Instant::now();
-    let mut heard = LastLevel::default();
+    let mut last_level = LastLevel::default();
     let level = Level::new(ClassRank::new(1), 0);
-    heard.record(now, level);
-    let later = heard.level(now + Duration::from_millis(ms), protected);
+    last_level.record(now, level);
+    let later = last_level.level(now + Duration::from_millis(ms), protected);
     assert_eq!(Level::new(ClassRank::new(2), 0) < later, refuses);
 }
 
-/// Uploads make no calls, but now and then a call of their class does, whose
-/// parent has ended and is not known any more. The service below refuses work.
+/// Uploads make no onward calls. Now and then an orphaned call, whose parent call has
+/// ended, is attributed to their class; it must not make the class depend on the
+/// downstream service that refuses calls.
 #[test]
-fn chain_spares_a_class_that_seldom_calls() {
+fn downstream_levels_spare_independent_class() {
     let now = Instant::now();
-    let mut chain = DownstreamLevels::default();
+    let mut downstream = DownstreamLevels::default();
     let upload = ClassRank::new(1);
     let alert = ClassRank::new(0);
     let level = Level::new(alert, u16::MAX / 2);
@@ -206,14 +207,14 @@
         failed: true,
     }];
     for turn in 0..500 {
-        chain.record(now, alert, &refused, false);
+        downstream.record(now, alert, &refused, false);
         let orphan = turn % 50 == 0;
-        let met: &[OnwardOutcome] = if orphan { &refused } else { &[] };
-        chain.record(now, upload, met, !orphan);
+        let outcomes: &[OnwardOutcome] = if orphan { &refused } else { &[] };
+        downstream.record(now, upload, outcomes, !orphan);
     }
-    assert_eq!(chain.level(now, alert, false), level);
-    assert_eq!(chain.level(now, upload, false), Level::OPEN);
-    let (told, classes) = chain.highest(now);
-    assert_eq!(told, level);
+    assert_eq!(downstream.level(now, alert, false), level);
+    assert_eq!(downstream.level(now, upload, false), Level::OPEN);
+    let (highest, classes) = downstream.highest(now);
+    assert_eq!(highest, level);
     assert!(classes.contains(alert) && !classes.contains(upload));
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,8 +1,8 @@
-//! A server that has just started, with more calls than it can run.
+//! The concurrency limit of a backend server that has just started.
 //!
-//! Load pattern: all servers of an estate start anew at the same moment (power
-//! comes back) while callers go on. Figures: 72 slots, calls of 220 ms that
-//! take twice as long while the server is cold, as on the users' smaller site.
+//! Guards against a limit that starts too low or grows too slowly when all servers
+//! restart at once, for instance after a power failure, while callers keep sending.
+//! Figures: 72 slots; calls of 220 ms take twice as long on a cold server.
 
 #![allow(missing_docs)]
 
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 
 const SLOTS: u32 = 72;
-const WORK: Duration = Duration::from_millis(440);
+const CALL_TIME: Duration = Duration::from_millis(440);
 
-/// Calls answered within `time` of a cold server that always has work.
+/// Returns the calls that a cold server answers within `time` under constant load.
 fn served(limit: &mut ConcurrencyLimit, time: Duration) -> usize {
     let start = Instant::now();
     let mut running: Vec<Duration> = Vec::new();
@@ -23,14 +23,14 @@
     let mut now = Duration::ZERO;
     while now <= time {
         while running.len() < limit.get() {
-            running.push(now + WORK);
+            running.push(now + CALL_TIME);
         }
         let next = running.iter().min().copied().unwrap_or(time);
         now = next;
         let ending = running.iter().filter(|end| **end <= now).count();
         for left in 0..ending {
             let in_flight = running.len() - left;
-            limit.record(start + now, Outcome::Answered, WORK, in_flight);
+            limit.record(start + now, Outcome::Answered, CALL_TIME, in_flight);
         }
         running.retain(|end| *end > now);
         done += ending;
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn cold_limit_serves_most_of_what_is_possible_in_the_first_second() {
+fn cold_limit_grows_within_first_second() {
     let mut limit = ConcurrencyLimit::cold(Slots::new(SLOTS));
     let second = Duration::from_millis(900);
-    // Two rounds of 440 ms fit; all slots would give 144.
+    // Two rounds of 440 ms fit into the time; with all slots they would be 144 calls.
     assert!(served(&mut limit, second) >= 100);
 }
 
 #[test]
-fn cold_limit_falls_to_what_the_server_bears() {
+fn cold_limit_falls_on_refusal() {
     let mut limit = ConcurrencyLimit::cold(Slots::new(SLOTS));
-    limit.record(Instant::now(), Outcome::Refused, WORK, 20);
+    limit.record(Instant::now(), Outcome::Refused, CALL_TIME, 20);
     assert_eq!(limit.get(), 19);
 }
--- a/tests/fair_share/inner.rs
+++ b/tests/fair_share/inner.rs
@@ -1,4 +1,4 @@
-//! Calls that backend servers make count for the workspace of their root.
+//! Onward calls of backend servers are charged to the workspace of their root call.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +7,9 @@
 use super::support::eventually;
 use super::support::hosted::{Vm, keyed_document, store, vm_with};
 
-const ONE: &str = r#"{"north":{"apiKeys":["key-north"],"priority":1}}"#;
-/// Enough that both servers get some.
-const INNER: usize = 40;
+const ONE_WORKSPACE: &str = r#"{"north":{"apiKeys":["key-north"],"priority":1}}"#;
+/// Enough calls for both servers to get some.
+const ONWARD_CALLS: usize = 40;
 
 fn charged(vm: &Vm) -> BTreeSet<Box<str>> {
     let rows = vm.daemon.guard().usages();
@@ -17,9 +17,9 @@
 }
 
 #[tokio::test]
-async fn inner_calls_count_for_the_workspace_of_their_root() {
+async fn onward_calls_are_charged_to_workspace_of_root() {
     let (address, rows, _listening) = store().await;
-    rows.put("op", "config", &keyed_document(7, "svc", ONE));
+    rows.put("op", "config", &keyed_document(7, "svc", ONE_WORKSPACE));
     let vm = || vm_with("svc", address, "fair: true");
     let vms = [vm().await, vm().await];
     for vm in &vms {
@@ -36,21 +36,21 @@
         .await;
     }
     let key = [("api-key", "key-north")];
-    let outer = vms[0].ask_with(Method::GET, "/read/slow", "r1", &key);
-    let inner = async {
-        let (of, id) = eventually("the outer call runs", || async {
+    let root = vms[0].ask_with(Method::GET, "/read/slow", "r1", &key);
+    let onward = async {
+        let (vm, id) = eventually("the root call runs", || async {
             let seen = vms.iter().find(|vm| !vm.seen.runs.lock().is_empty())?;
             let id = seen.seen.runs.lock()[0].0.clone();
             Some((seen, id))
         })
         .await;
-        for n in 0..INNER {
+        for n in 0..ONWARD_CALLS {
             let id = format!("{id}.{n}");
-            let answer = of.ask_with(Method::GET, "/open/x", &id, &[]).await;
+            let answer = vm.ask_with(Method::GET, "/open/x", &id, &[]).await;
             assert_eq!(answer.status, StatusCode::OK);
         }
     };
-    tokio::join!(outer, inner);
+    tokio::join!(root, onward);
     let north = BTreeSet::from(["north".into()]);
     for vm in &vms {
         assert_eq!(charged(vm), north);
--- a/tests/fair_share/load.rs
+++ b/tests/fair_share/load.rs
@@ -1,4 +1,4 @@
-//! Callers of several workspaces at one guard.
+//! Simulated callers of several workspaces at one guard.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,52 +14,52 @@
 
 pub(crate) const SLOTS: u32 = 28;
 /// How long callers wait.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One workspace that asks.
+/// The load of one workspace.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asker {
+pub(crate) struct Load {
     pub(crate) id: Option<WorkspaceId>,
     pub(crate) rank: usize,
     /// Calls a second.
     pub(crate) rate: f64,
-    pub(crate) takes: Duration,
+    pub(crate) call_time: Duration,
 }
 
-impl Asker {
-    pub(crate) fn new(id: u32, rate: f64, takes_ms: u64) -> Self {
+impl Load {
+    pub(crate) fn new(id: u32, rate: f64, call_ms: u64) -> Self {
         Self {
             id: WorkspaceId::from_raw(id),
             rank: 2,
             rate,
-            takes: Duration::from_millis(takes_ms),
+            call_time: Duration::from_millis(call_ms),
         }
     }
 }
 
-/// What one workspace got.
+/// The service that one workspace received.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Got {
-    pub(crate) asked: u32,
+pub(crate) struct Service {
+    pub(crate) calls: u32,
     pub(crate) served: u32,
     pub(crate) time: Duration,
 }
 
-impl Got {
+impl Service {
     pub(crate) fn share(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked.max(1))
+        f64::from(self.served) / f64::from(self.calls.max(1))
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
-    Arrives(usize),
-    Ends(CallToken),
+enum SimEvent {
+    Arrival(usize),
+    End(CallToken),
 }
 
 struct Work {
     place: usize,
-    takes: Duration,
+    call_time: Duration,
     started: Instant,
     outcome: Outcome,
 }
@@ -67,20 +67,20 @@
 pub(crate) struct Guard {
     pub(crate) admission: Admission,
     pub(crate) now: Instant,
-    pub(crate) got: Vec<Got>,
-    /// Slot time that was free.
+    pub(crate) received: Vec<Service>,
+    /// Unused slot time.
     pub(crate) idle: Duration,
-    /// While set, no call is answered before its caller gives up.
+    /// Whether the server hangs: no call is answered before its caller gives up.
     pub(crate) hangs: bool,
     rng: StdRng,
-    askers: Vec<Asker>,
-    agenda: BinaryHeap<Reverse<(Instant, Next)>>,
+    loads: Vec<Load>,
+    agenda: BinaryHeap<Reverse<(Instant, SimEvent)>>,
     work: HashMap<CallToken, Work>,
     calls: u64,
 }
 
 impl Guard {
-    /// Makes a guard that shares by these weights, or does not share.
+    /// Creates a guard that shares by `weights`, or does not share if `None`.
     pub(crate) fn new(weights: Option<Weights>, seed: u64) -> Self {
         let now = Instant::now();
         let settings = Settings {
@@ -93,25 +93,25 @@
         Self {
             admission,
             now,
-            got: Vec::new(),
+            received: Vec::new(),
             idle: Duration::ZERO,
             hangs: false,
             rng: StdRng::seed_from_u64(seed),
-            askers: Vec::new(),
+            loads: Vec::new(),
             agenda: BinaryHeap::new(),
             work: HashMap::new(),
             calls: 0,
         }
     }
 
-    /// Lets these ask for some time, and counts what they got in it.
-    pub(crate) fn play(&mut self, askers: &[Asker], time: Duration) -> Vec<Got> {
-        self.askers = askers.to_vec();
-        self.got = vec![Got::default(); askers.len()];
+    /// Lets the workspaces send calls for `time` and returns what each received.
+    pub(crate) fn simulate(&mut self, loads: &[Load], time: Duration) -> Vec<Service> {
+        self.loads = loads.to_vec();
+        self.received = vec![Service::default(); loads.len()];
         self.idle = Duration::ZERO;
         let end = self.now + time;
-        for place in 0..askers.len() {
-            self.expect(place);
+        for place in 0..loads.len() {
+            self.schedule(place);
         }
         while let Some(Reverse((at, next))) = self.agenda.pop() {
             if at >= end {
@@ -120,14 +120,14 @@
             }
             self.advance(at);
             match next {
-                Next::Arrives(place) => self.arrive(place),
-                Next::Ends(token) => self.end(token),
+                SimEvent::Arrival(place) => self.arrive(place),
+                SimEvent::End(token) => self.end(token),
             }
         }
         self.advance(end);
         self.agenda
-            .retain(|Reverse((_, next))| matches!(next, Next::Ends(_)));
-        std::mem::take(&mut self.got)
+            .retain(|Reverse((_, next))| matches!(next, SimEvent::End(_)));
+        std::mem::take(&mut self.received)
     }
 
     fn advance(&mut self, to: Instant) {
@@ -137,30 +137,30 @@
         self.now = to;
     }
 
-    fn expect(&mut self, place: usize) {
-        let gap = -self.rng.random_range(1e-9..1.0f64).ln() / self.askers[place].rate;
+    fn schedule(&mut self, place: usize) {
+        let gap = -self.rng.random_range(1e-9..1.0f64).ln() / self.loads[place].rate;
         let at = self.now + Duration::from_secs_f64(gap);
-        self.agenda.push(Reverse((at, Next::Arrives(place))));
+        self.agenda.push(Reverse((at, SimEvent::Arrival(place))));
     }
 
     fn arrive(&mut self, place: usize) {
-        self.expect(place);
+        self.schedule(place);
         self.calls += 1;
-        self.got[place].asked += 1;
-        let asker = self.askers[place];
+        self.received[place].calls += 1;
+        let load = self.loads[place];
         let token = CallToken(self.calls);
         let root = RootId::new(self.rng.random());
         let call = QueuedCall {
             token,
-            priority: Priority::new(ClassRank::new(asker.rank), Depth::new(3), root),
-            workspace: asker.id,
-            deadline: self.now + PATIENCE,
-            expires: self.now + PATIENCE,
+            priority: Priority::new(ClassRank::new(load.rank), Depth::new(3), root),
+            workspace: load.id,
+            deadline: self.now + CALLER_TIMEOUT,
+            expires: self.now + CALLER_TIMEOUT,
             may_wait: true,
         };
         let work = Work {
             place,
-            takes: asker.takes.mul_f64(self.rng.random_range(0.5..1.5)),
+            call_time: load.call_time.mul_f64(self.rng.random_range(0.5..1.5)),
             started: self.now,
             outcome: Outcome::Answered,
         };
@@ -189,17 +189,17 @@
         };
         work.started = self.now;
         if self.hangs {
-            (work.takes, work.outcome) = (PATIENCE, Outcome::Failed);
+            (work.call_time, work.outcome) = (CALLER_TIMEOUT, Outcome::Failed);
         }
-        let end = self.now + work.takes;
-        self.agenda.push(Reverse((end, Next::Ends(token))));
+        let end = self.now + work.call_time;
+        self.agenda.push(Reverse((end, SimEvent::End(token))));
     }
 
     fn end(&mut self, token: CallToken) {
         if let Some(work) = self.work.remove(&token) {
-            if let Some(got) = self.got.get_mut(work.place) {
-                got.time += self.now.saturating_duration_since(work.started);
-                got.served += u32::from(work.outcome == Outcome::Answered);
+            if let Some(received) = self.received.get_mut(work.place) {
+                received.time += self.now.saturating_duration_since(work.started);
+                received.served += u32::from(work.outcome == Outcome::Answered);
             }
             let events = self.admission.finish(self.now, token, work.outcome);
             self.take(events);
--- a/tests/fair_share/main.rs
+++ b/tests/fair_share/main.rs
@@ -1,9 +1,8 @@
-//! Slot time of one backend server among workspaces that compete.
+//! Sharing of one backend server's slot time among competing workspaces.
 //!
-//! Load pattern: one of many workspaces sends several times its usual, and all
-//! calls end at one service whose slots are short for some ten seconds. Figures:
-//! 28 slots, calls of 20 ms and of 300 ms, 73 workspaces of which a few are
-//! large, as on the users' callsign registry.
+//! Guards against one workspace that crowds out the others: it sends several times its
+//! usual load, and the slots of the service are short for about ten seconds. Figures:
+//! 28 slots, calls of 20 ms and of 300 ms, 73 workspaces of which a few are large.
 
 #![allow(missing_docs)]
 
@@ -20,7 +19,7 @@
 use bramleymount::policy::admission::{
     Admission, CallToken, FairQueue, Outcome, PriorityQueue, QueuedCall, Settings, Weights,
 };
-use load::{Asker, Got, Guard, SLOTS};
+use load::{Guard, Load, SLOTS, Service};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -37,175 +36,186 @@
     Some(Weights::default())
 }
 
-/// The slots are given work all the time while calls wait.
+/// Asserts that slots were hardly ever idle.
 fn assert_busy(guard: &Guard) {
     let all = SURGE * SLOTS;
     assert!(guard.idle < all.mul_f64(0.02), "{:?} idle", guard.idle);
 }
 
 #[rstest]
-fn hot_workspace_takes_only_what_others_leave(#[values(1, 2, 3)] seed: u64) {
-    let light = Asker::new(1, CAPACITY * 1.5 / 8.0, SHORT_MS);
-    let hot = Asker::new(2, light.rate * 7.0, SHORT_MS);
+fn hot_workspace_gets_only_unused_time(#[values(1, 2, 3)] seed: u64) {
+    let light = Load::new(1, CAPACITY * 1.5 / 8.0, SHORT_MS);
+    let hot = Load::new(2, light.rate * 7.0, SHORT_MS);
     let mut guard = Guard::new(equal(), seed);
-    let got = guard.play(&[light, hot], SURGE);
-    assert!(got[0].share() > 0.97, "{got:?}");
+    let received = guard.simulate(&[light, hot], SURGE);
+    assert!(received[0].share() > 0.97, "{received:?}");
     let left = (CAPACITY - light.rate) / hot.rate;
-    assert!(got[1].share() > left * 0.95, "{got:?}");
+    assert!(received[1].share() > left * 0.95, "{received:?}");
     assert_busy(&guard);
 }
 
 #[rstest]
-fn long_calls_are_no_way_to_more_time(#[values(1, 2, 3)] seed: u64) {
-    let short = Asker::new(1, CAPACITY * 1.5, SHORT_MS);
-    // Three times as much time as the short ones ask for.
+fn long_calls_gain_no_time(#[values(1, 2, 3)] seed: u64) {
+    let short = Load::new(1, CAPACITY * 1.5, SHORT_MS);
+    // Three times as much slot time as the short calls ask for.
     let rate = 3.0 * short.rate * SHORT_MS as f64 / LONG_MS as f64;
-    let long = Asker::new(2, rate, LONG_MS);
+    let long = Load::new(2, rate, LONG_MS);
     let mut guard = Guard::new(equal(), seed);
-    let got = guard.play(&[short, long], SURGE);
-    let ratio = got[1].time.as_secs_f64() / got[0].time.as_secs_f64();
-    assert!((0.9..1.1).contains(&ratio), "{ratio}: {got:?}");
+    let received = guard.simulate(&[short, long], SURGE);
+    let ratio = received[1].time.as_secs_f64() / received[0].time.as_secs_f64();
+    assert!((0.9..1.1).contains(&ratio), "{ratio}: {received:?}");
     assert_busy(&guard);
 }
 
 #[test]
-fn rates_weigh() {
+fn time_is_shared_by_rate() {
     let id = |raw| WorkspaceId::from_raw(raw).expect("an id");
     let rates = [
         (id(1), Rate::per_second(30.0)),
         (id(2), Rate::per_second(10.0)),
     ];
-    let askers = [1, 2].map(|id| Asker::new(id, CAPACITY, SHORT_MS));
-    let got = Guard::new(Some(Weights::new(rates)), 1).play(&askers, SURGE);
-    let ratio = got[0].time.as_secs_f64() / got[1].time.as_secs_f64();
-    assert!((2.8..3.2).contains(&ratio), "{ratio}: {got:?}");
+    let loads = [1, 2].map(|id| Load::new(id, CAPACITY, SHORT_MS));
+    let received = Guard::new(Some(Weights::new(rates)), 1).simulate(&loads, SURGE);
+    let ratio = received[0].time.as_secs_f64() / received[1].time.as_secs_f64();
+    assert!((2.8..3.2).contains(&ratio), "{ratio}: {received:?}");
 }
 
-/// 73 workspaces whose calls are as 1, 1/2, 1/3 ..., at `load` of the capacity.
-fn zipf(load: f64) -> Vec<Asker> {
+/// Returns 73 workspaces whose call rates are as 1, 1/2, 1/3 ..., at `load` times the
+/// capacity.
+fn zipf(load: f64) -> Vec<Load> {
     let sum: f64 = (1..=73u32).map(|n| 1.0 / f64::from(n)).sum();
     let rate = |n: u32| CAPACITY * load / sum / f64::from(n);
-    (1..=73).map(|n| Asker::new(n, rate(n), SHORT_MS)).collect()
+    (1..=73).map(|n| Load::new(n, rate(n), SHORT_MS)).collect()
 }
 
-fn by_rate(askers: &[Asker]) -> Option<Weights> {
-    let rates = askers.iter().filter_map(|asker| {
-        let id = asker.id?;
-        Some((id, Rate::per_second(asker.rate * 1.6)))
+fn by_rate(loads: &[Load]) -> Option<Weights> {
+    let rates = loads.iter().filter_map(|load| {
+        let id = load.id?;
+        Some((id, Rate::per_second(load.rate * 1.6)))
     });
     Some(Weights::new(rates))
 }
 
-/// Small workspaces ask in bursts, and what is beyond their part within the
-/// longest wait of a call is shed: a tenth of what is due to one, no more.
+/// Small workspaces send bursts. Calls beyond their share within the longest wait of a
+/// call are shed: at most a tenth of what a workspace is due.
 #[rstest]
-fn one_hot_of_73_is_felt_by_itself(#[values(0, 1, 4)] hot: usize, #[values(1, 2)] seed: u64) {
+fn one_hot_of_73_spares_others(#[values(0, 1, 4)] hot: usize, #[values(1, 2)] seed: u64) {
     const LOAD: f64 = 0.8;
     let usual = zipf(LOAD);
-    let mut asked = usual.clone();
-    asked[hot].rate *= 7.0;
-    let got = Guard::new(by_rate(&usual), seed).play(&asked, SURGE);
-    let others = || got.iter().enumerate().filter(|(place, _)| *place != hot);
-    for (place, got) in others() {
+    let mut loads = usual.clone();
+    loads[hot].rate *= 7.0;
+    let received = Guard::new(by_rate(&usual), seed).simulate(&loads, SURGE);
+    let others = || {
+        received
+            .iter()
+            .enumerate()
+            .filter(|(place, _)| *place != hot)
+    };
+    for (place, received) in others() {
         let due = usual[place].rate / LOAD * SURGE.as_secs_f64();
-        let wanted = due.min(f64::from(got.asked));
+        let wanted = due.min(f64::from(received.calls));
         assert!(
-            f64::from(got.served) > wanted * 0.9,
-            "{place}: {got:?}, {due} due"
+            f64::from(received.served) > wanted * 0.9,
+            "{place}: {received:?}, {due} due"
         );
     }
-    assert!(share_of_all(others().map(|(_, got)| got)) > 0.97);
+    assert!(share_of_all(others().map(|(_, received)| received)) > 0.97);
 }
 
-/// Served by what was asked, of all these together.
-fn share_of_all<'g>(got: impl Iterator<Item = &'g Got>) -> f64 {
-    let (served, asked) = got.fold((0, 0), |sum, got| (sum.0 + got.served, sum.1 + got.asked));
-    f64::from(served) / f64::from(asked)
+/// Returns the share of the calls of all these workspaces that was served.
+fn share_of_all<'g>(received: impl Iterator<Item = &'g Service>) -> f64 {
+    let (served, calls) = received.fold((0, 0), |sum, received| {
+        (sum.0 + received.served, sum.1 + received.calls)
+    });
+    f64::from(served) / f64::from(calls)
 }
 
-/// One class asks for two fifths of the capacity, the other for all of it and
-/// more.
+/// One class asks for two fifths of the capacity, the other for more than all of it.
 #[rstest]
-fn nobody_starves_in_a_class_that_has_room(#[values(1, 2, 3)] seed: u64) {
+fn no_workspace_starves_in_class_with_capacity(#[values(1, 2, 3)] seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let [urgent, mut lesser] = [zipf(0.4), zipf(1.0)];
     let weights = by_rate(&lesser);
-    for asker in &mut lesser {
-        asker.rate *= rng.random_range(0.5..3.0);
-        asker.takes = Duration::from_millis(rng.random_range(10..30));
+    for load in &mut lesser {
+        load.rate *= rng.random_range(0.5..3.0);
+        load.call_time = Duration::from_millis(rng.random_range(10..30));
     }
-    let mut askers = urgent;
-    askers.iter_mut().for_each(|asker| asker.rank = 1);
-    askers.extend(lesser);
-    let got = Guard::new(weights, seed).play(&askers, SURGE);
+    let mut loads = urgent;
+    loads.iter_mut().for_each(|load| load.rank = 1);
+    loads.extend(lesser);
+    let received = Guard::new(weights, seed).simulate(&loads, SURGE);
     for rank in [1, 2] {
         let of = || {
-            got.iter()
-                .zip(&askers)
-                .filter(|(_, asker)| asker.rank == rank)
+            received
+                .iter()
+                .zip(&loads)
+                .filter(|(_, load)| load.rank == rank)
         };
-        let all = share_of_all(of().map(|(got, _)| got));
-        for (got, asker) in of().filter(|(got, _)| got.asked >= 20) {
-            assert!(got.share() > all / 4.0, "{asker:?}: {got:?}, all {all}");
+        let all = share_of_all(of().map(|(received, _)| received));
+        for (received, load) in of().filter(|(received, _)| received.calls >= 20) {
+            assert!(
+                received.share() > all / 4.0,
+                "{load:?}: {received:?}, all {all}"
+            );
         }
     }
-    assert!(share_of_all(got.iter().take(73)) > 0.97);
+    assert!(share_of_all(received.iter().take(73)) > 0.97);
 }
 
 #[test]
-fn workspace_that_is_alone_has_all() {
+fn lone_workspace_gets_all_time() {
     let mut guard = Guard::new(equal(), 1);
-    let got = guard.play(&[Asker::new(1, CAPACITY * 1.5, SHORT_MS)], SURGE);
-    assert!(got[0].share() > 0.98 / 1.5, "{got:?}");
+    let received = guard.simulate(&[Load::new(1, CAPACITY * 1.5, SHORT_MS)], SURGE);
+    assert!(received[0].share() > 0.98 / 1.5, "{received:?}");
     assert_busy(&guard);
 }
 
 #[test]
-fn idle_workspace_stores_no_time_up() {
-    let both = [1, 2].map(|id| Asker::new(id, CAPACITY, SHORT_MS));
+fn idle_workspace_keeps_no_credit() {
+    let both = [1, 2].map(|id| Load::new(id, CAPACITY, SHORT_MS));
     let mut guard = Guard::new(equal(), 1);
-    guard.play(&both[..1], SURGE);
-    let got = guard.play(&both, Duration::from_secs(2));
-    let ratio = got[1].time.as_secs_f64() / got[0].time.as_secs_f64();
-    assert!((0.9..1.1).contains(&ratio), "{ratio}: {got:?}");
+    guard.simulate(&both[..1], SURGE);
+    let received = guard.simulate(&both, Duration::from_secs(2));
+    let ratio = received[1].time.as_secs_f64() / received[0].time.as_secs_f64();
+    assert!((0.9..1.1).contains(&ratio), "{ratio}: {received:?}");
 }
 
 #[test]
-fn classes_stay_strict() {
-    let mut urgent = Asker::new(1, CAPACITY * 0.9, SHORT_MS);
+fn classes_are_strict() {
+    let mut urgent = Load::new(1, CAPACITY * 0.9, SHORT_MS);
     urgent.rank = 0;
-    let lesser = Asker::new(2, CAPACITY, SHORT_MS);
-    let got = Guard::new(equal(), 1).play(&[urgent, lesser], SURGE);
-    assert!(got[0].share() > 0.97, "{got:?}");
+    let lesser = Load::new(2, CAPACITY, SHORT_MS);
+    let received = Guard::new(equal(), 1).simulate(&[urgent, lesser], SURGE);
+    assert!(received[0].share() > 0.97, "{received:?}");
 }
 
-/// A backend server that answers nobody holds the slots until the callers give
-/// up; whose calls these were is no reason to put it last afterwards.
+/// The calls to a server that hangs hold its slots until the callers give up. The
+/// workspace that sent them must not be put last afterwards.
 #[rstest]
-fn time_without_answers_is_charged_to_nobody(#[values(true, false)] restarts: bool) {
-    let both = [1, 2].map(|id| Asker::new(id, CAPACITY, SHORT_MS));
+fn time_without_answers_is_not_charged(#[values(true, false)] restarts: bool) {
+    let both = [1, 2].map(|id| Load::new(id, CAPACITY, SHORT_MS));
     let mut guard = Guard::new(equal(), 1);
-    guard.play(&both, Duration::from_secs(1));
+    guard.simulate(&both, Duration::from_secs(1));
     guard.hangs = true;
-    guard.play(&both[..1], Duration::from_secs(3));
+    guard.simulate(&both[..1], Duration::from_secs(3));
     guard.hangs = false;
     if restarts {
         guard.admission.forget(Slots::new(SLOTS));
     }
-    // The calls that hang end within the callers' patience.
-    guard.play(&both, Duration::from_secs(2));
-    let got = guard.play(&both, Duration::from_secs(2));
-    let ratio = got[1].time.as_secs_f64() / got[0].time.as_secs_f64();
-    assert!((0.9..1.1).contains(&ratio), "{ratio}: {got:?}");
+    // Hanging calls end within the callers' timeout.
+    guard.simulate(&both, Duration::from_secs(2));
+    let received = guard.simulate(&both, Duration::from_secs(2));
+    let ratio = received[1].time.as_secs_f64() / received[0].time.as_secs_f64();
+    assert!((0.9..1.1).contains(&ratio), "{ratio}: {received:?}");
 }
 
 #[test]
-fn accounts_fade() {
+fn idle_accounts_are_removed() {
     let mut guard = Guard::new(equal(), 1);
     for round in 0..20 {
         let first = round * 100 + 1;
-        let askers = (first..first + 100).map(|id| Asker::new(id, 10.0, SHORT_MS));
-        guard.play(&askers.collect::<Vec<_>>(), SURGE);
+        let loads = (first..first + 100).map(|id| Load::new(id, 10.0, SHORT_MS));
+        guard.simulate(&loads.collect::<Vec<_>>(), SURGE);
     }
     let accounts = guard.admission.fair_queue().map(|fair| fair.accounts());
     assert!(
@@ -214,7 +224,7 @@
     );
 }
 
-fn waiting(rng: &mut StdRng, token: u64, now: Instant) -> QueuedCall {
+fn random_call(rng: &mut StdRng, token: u64, now: Instant) -> QueuedCall {
     let rank = ClassRank::new(rng.random_range(0..4));
     let depth = Depth::new(rng.random_range(0..4));
     let deadline = now + Duration::from_millis(rng.random_range(1..400));
@@ -228,17 +238,16 @@
     }
 }
 
-/// Calls without a workspace are served in the order of the queue that knows
-/// none.
+/// Calls without a workspace are served in the order of the plain priority queue.
 #[test]
-fn queue_without_workspaces_as_before() {
+fn queue_without_workspaces_matches_plain_queue() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
         let mut plain = PriorityQueue::default();
         let mut fair = FairQueue::new(now, Weights::default());
         for token in 0..2000 {
-            let call = waiting(&mut rng, token, now);
+            let call = random_call(&mut rng, token, now);
             match rng.random_range(0..5) {
                 0 => assert_eq!(plain.pop_first(), fair.pop_first()),
                 1 => {
@@ -259,9 +268,9 @@
     }
 }
 
-/// Where workspaces are not declared, what callers send of them changes nothing.
+/// Without declared workspaces, a call's workspace doesn't affect decisions.
 #[test]
-fn decisions_without_workspaces_as_before() {
+fn decisions_without_workspaces_match_plain_queue() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = Instant::now();
@@ -277,22 +286,22 @@
         });
         for token in 0..3000 {
             now += Duration::from_micros(rng.random_range(1..1500));
-            let call = waiting(&mut rng, token, now);
-            let named = QueuedCall {
+            let call = random_call(&mut rng, token, now);
+            let with_workspace = QueuedCall {
                 workspace: WorkspaceId::from_raw(rng.random_range(0..5)),
                 ..call
             };
             let ended = CallToken(rng.random_range(token.saturating_sub(40)..=token));
-            let does = rng.random_range(0..10);
+            let action = rng.random_range(0..10);
             let [plain, fair, ignores] = &mut guards;
-            let each = |guard: &mut Admission, call: QueuedCall| match does {
+            let each = |guard: &mut Admission, call: QueuedCall| match action {
                 0..7 => format!("{:?}", guard.arrive(now, call)),
                 7 => format!("{:?}", guard.expire(now)),
                 _ => format!("{:?}", guard.finish(now, ended, Outcome::Answered)),
             };
             let before = each(plain, call);
             assert_eq!(before, each(fair, call), "seed {seed}");
-            assert_eq!(before, each(ignores, named), "seed {seed}");
+            assert_eq!(before, each(ignores, with_workspace), "seed {seed}");
         }
     }
 }
@@ -300,7 +309,7 @@
 #[rstest]
 #[case("north")]
 #[case("south_2")]
-fn id_is_read_back(#[case] name: &str) {
+fn workspace_id_round_trips(#[case] name: &str) {
     let name: WorkspaceName = name.parse().expect("a name");
     let id = WorkspaceId::of(&name);
     assert_eq!(id.to_string().parse::<WorkspaceId>().ok(), Some(id));
--- a/tests/limited_admission.rs
+++ b/tests/limited_admission.rs
@@ -1,10 +1,9 @@
-//! Admission to a backend server that has named how many calls a second it takes.
+//! Admission to a backend server that has requested a rate of calls.
 //!
-//! The load answered here: more calls than the rate, of several classes, while
-//! other servers of the service have room or none has. Callers need those that fit
-//! elsewhere to be sent there at once; where nothing fits, the most important to be
-//! served first, nobody to wait for an answer that comes too late, and a refusal to
-//! say when there will be room.
+//! Load: more calls than the rate, of several classes. Guards against calls that queue
+//! although another server has capacity for them. If none has, it guards against less
+//! important calls served first, waits for an answer that comes too late, and refusals
+//! without a useful `Retry-After`.
 
 #![allow(missing_docs)]
 
@@ -19,7 +18,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-const LEFT: Duration = Duration::from_secs(6);
+const TIME_LEFT: Duration = Duration::from_secs(6);
 
 fn call(token: u64, rank: usize, now: Instant) -> QueuedCall {
     let root = RootId::new(u128::from(token));
@@ -27,14 +26,14 @@
         token: CallToken(token),
         priority: Priority::new(ClassRank::new(rank), Depth::new(0), root),
         workspace: None,
-        deadline: now + LEFT,
-        expires: now + LEFT,
+        deadline: now + TIME_LEFT,
+        expires: now + TIME_LEFT,
         may_wait: true,
     }
 }
 
-/// A server of many slots that takes ten calls a second; rank 0 is protected.
-fn limited(now: Instant) -> Admission {
+/// A server of many slots that requested ten calls a second; rank 0 is protected.
+fn rate_limited(now: Instant) -> Admission {
     let settings = Settings {
         slots: Slots::new(119),
         cold: false,
@@ -54,7 +53,7 @@
     started.collect()
 }
 
-/// Ends at once what has started, and what starts then.
+/// Finishes the started calls at once, and those that start in turn.
 fn finish(guard: &mut Admission, now: Instant, events: Vec<Event>) -> Vec<u64> {
     let mut order = started(&events);
     let mut ended = 0;
@@ -66,7 +65,7 @@
     order
 }
 
-/// Lets a call arrive, ended at once if it starts.
+/// Lets a call arrive, and finishes it at once if it starts.
 fn arrive(guard: &mut Admission, now: Instant, call: QueuedCall) {
     let (decision, mut events) = guard.arrive(now, call);
     if decision == Decision::Start {
@@ -77,7 +76,7 @@
     finish(guard, now, events);
 }
 
-/// Lets calls start as the gate does until `now` + `time`, each ended at once.
+/// Starts calls until `now` + `time`, as the guard does, and finishes each at once.
 fn run(guard: &mut Admission, now: &mut Instant, time: Duration) -> Vec<u64> {
     let end = *now + time;
     let mut order = Vec::new();
@@ -91,9 +90,9 @@
 }
 
 #[test]
-fn arrive_sends_away_what_may_go_elsewhere() {
+fn arrive_refuses_calls_that_may_go_elsewhere() {
     let now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     for token in 0..200 {
         let call = QueuedCall {
             may_wait: false,
@@ -103,7 +102,7 @@
         assert_eq!(decision, Decision::Shed(Shed::Limited));
         assert!(events.is_empty());
     }
-    // That others take them is no sign of more work than the service can do.
+    // Calls that may go to other servers don't raise the level.
     let later = now + Duration::from_secs(1);
     let (decision, _) = guard.arrive(later, call(200, 1, later));
     assert_eq!(decision, Decision::Start);
@@ -111,9 +110,9 @@
 }
 
 #[test]
-fn arrive_starts_waiting_calls_by_class_at_the_rate() {
+fn arrive_starts_queued_calls_by_class_at_rate() {
     let mut now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     for (token, rank) in [(1, 2), (2, 1), (3, 0), (4, 1), (5, 0)] {
         let (decision, events) = guard.arrive(now, call(token, rank, now));
         assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
@@ -125,28 +124,28 @@
     assert_eq!(ranks, [0, 0, 1, 1, 2]);
 }
 
-/// At ten a second, a class that is not protected waits for a quarter of its time
+/// At ten calls a second, an unprotected call may wait for a quarter of its time left
 /// and a protected one for all of it.
 #[rstest]
 #[case::plain(1, 15)]
 #[case::protected(0, 60)]
-fn arrive_refuses_at_once_what_could_not_start_in_time(#[case] rank: usize, #[case] most: usize) {
+fn arrive_refuses_calls_that_could_not_start_in_time(#[case] rank: usize, #[case] most: usize) {
     let now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     let decisions = (0..80).map(|token| {
         let (decision, events) = guard.arrive(now, call(token, rank, now));
-        // In one class some waiting ones may be given up for others.
-        let given_up = events.len();
-        (matches!(decision, Decision::Wait(_)), given_up)
+        // Queued calls of the class may be shed for later ones.
+        let shed = events.len();
+        (matches!(decision, Decision::Wait(_)), shed)
     });
-    let (mut waiting, mut given_up) = (0, 0);
+    let (mut waiting, mut shed) = (0, 0);
     for (waits, late) in decisions {
         waiting += usize::from(waits);
-        given_up += late;
+        shed += late;
     }
     assert!(
-        (most - 1..=most).contains(&(waiting - given_up)),
-        "{waiting} {given_up}"
+        (most - 1..=most).contains(&(waiting - shed)),
+        "{waiting} {shed}"
     );
     let wait = guard.rate_retry_after(now, &mut SmallRng::seed_from_u64(1));
     let true_wait = Duration::from_millis(100) * most as u32;
@@ -155,32 +154,31 @@
 }
 
 #[test]
-fn arrive_gives_up_the_least_important_for_more_important_ones() {
+fn arrive_sheds_less_important_calls_first() {
     let now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     for token in 0..10 {
         guard.arrive(now, call(token, 2, now));
     }
-    let mut given_up = Vec::new();
+    let mut shed = Vec::new();
     for token in 100..120 {
         let (decision, events) = guard.arrive(now, call(token, 0, now));
         assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
-        given_up.extend(events);
+        shed.extend(events);
     }
-    assert_eq!(given_up.len(), 10);
+    assert_eq!(shed.len(), 10);
     assert!(
-        given_up
-            .iter()
+        shed.iter()
             .all(|event| matches!(event, Event::Shed(CallToken(0..10), Shed::Limited)))
     );
 }
 
-/// All servers of a service in need: the level rises, so that callers and trees
-/// above are refused where they begin.
+/// If all servers of a service are short, the level rises, so that calls and call trees
+/// are refused at their entry.
 #[test]
-fn level_rises_where_nothing_else_has_room() {
+fn level_rises_without_other_capacity() {
     let mut now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     for token in 0..400 {
         now += Duration::from_millis(10);
         arrive(&mut guard, now, call(token, 1, now));
@@ -190,9 +188,9 @@
 }
 
 #[test]
-fn forget_lets_calls_of_another_run_start() {
+fn forget_starts_calls_on_new_run() {
     let now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     let (decision, _) = guard.arrive(now, call(1, 1, now));
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
     guard.forget(Slots::new(119));
@@ -200,12 +198,13 @@
     assert_eq!(guard.rate_delay(now), Duration::ZERO);
 }
 
-/// A rate below what two classes ask for together and above what the higher one
-/// does: few calls start in a moment, and the level must not cut the higher one.
+/// The rate is below the demand of both classes together and above that of the more
+/// important one, whose calls the level must not refuse although few calls start in
+/// a window.
 #[test]
-fn level_spares_the_class_that_the_rate_has_room_for() {
+fn level_spares_class_within_rate() {
     let mut now = Instant::now();
-    let mut guard = limited(now);
+    let mut guard = rate_limited(now);
     let first = Level::new(ClassRank::new(0), 0);
     for token in 0..600 {
         now += Duration::from_millis(25);
--- a/tests/limited_trees.rs
+++ b/tests/limited_trees.rs
@@ -1,8 +1,8 @@
-//! Trees of calls whose last service takes few calls a second.
+//! Call trees whose last service has requested a rate.
 //!
-//! The load answered here: all servers of a service down the chain have named a
-//! rate, and more trees need it than that. Callers need trees that would fail there
-//! to be refused before they use the servers above, the less important ones first.
+//! Load: all servers of a downstream service have requested a rate, and more call trees
+//! need the service than that. Guards against trees that use the servers of earlier
+//! services before they fail downstream; less important ones are refused first.
 
 #![allow(missing_docs)]
 
@@ -20,11 +20,11 @@
 use bramleymount::policy::route::{Report, Table, Target};
 use tokio::time::Instant;
 
-const LEFT: Duration = Duration::from_secs(5);
+const TIME_LEFT: Duration = Duration::from_secs(5);
 const HIGH: usize = 0;
 const LOW: usize = 2;
-/// Between two calls to the last service.
-const GAP: Duration = Duration::from_millis(10);
+/// Time between two calls to the last service.
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn call(token: u64, rank: usize, now: Instant) -> QueuedCall {
     let root = RootId::new(u128::from(token));
@@ -32,8 +32,8 @@
         token: CallToken(token),
         priority: Priority::new(ClassRank::new(rank), Depth::new(0), root),
         workspace: None,
-        deadline: now + LEFT,
-        expires: now + LEFT,
+        deadline: now + TIME_LEFT,
+        expires: now + TIME_LEFT,
         may_wait: true,
     }
 }
@@ -47,22 +47,22 @@
     Admission::new(now, settings)
 }
 
-/// Sends a guard that takes ten calls a second a hundred of a low class, and returns
-/// what it tells then.
-fn overrun(now: &mut Instant) -> GuardNews {
-    let mut deep = guard(*now);
+/// Sends a guard that is limited to ten calls a second a hundred calls a second of a
+/// low class, and returns its status afterwards.
+fn overload(now: &mut Instant) -> GuardNews {
+    let mut last_guard = guard(*now);
     let rate = Rate::per_second(10.0);
-    deep.record_rate(*now, *now, NamedRate::Some(rate));
+    last_guard.record_rate(*now, *now, NamedRate::Some(rate));
     for token in 0..300 {
-        *now += GAP;
-        let (decision, mut events) = deep.arrive(*now, call(token, LOW, *now));
+        *now += CALL_INTERVAL;
+        let (decision, mut events) = last_guard.arrive(*now, call(token, LOW, *now));
         if decision == Decision::Start {
             events.push(Event::Start(CallToken(token)));
         }
-        events.extend(deep.expire(*now));
+        events.extend(last_guard.expire(*now));
         for event in events {
             if let Event::Start(token) = event {
-                deep.finish(*now, token, Outcome::Answered);
+                last_guard.finish(*now, token, Outcome::Answered);
             }
         }
     }
@@ -73,12 +73,12 @@
             rate: Some(rate),
             leaving: false,
         }),
-        ..deep.status(*now)
+        ..last_guard.status(*now)
     }
 }
 
-/// The entry beside a server above, which has heard from both servers of the last
-/// service.
+/// The route table of the entry beside an upstream server, which has the status of both
+/// servers of the last service.
 fn entry(now: Instant, news: GuardNews) -> Table {
     let instance = |n| {
         let address = SocketAddr::from(([10, 0, 0, 1], n));
@@ -96,39 +96,39 @@
 }
 
 #[test]
-fn trees_that_fail_below_are_refused_above() {
+fn trees_that_fail_downstream_are_refused_upstream() {
     let mut now = Instant::now();
-    let news = overrun(&mut now);
+    let news = overload(&mut now);
     assert!(Reason::Shed(Shed::Limited).is_overload());
     let demand = entry(now, news).demand(now);
-    let mut above = guard(now);
+    let mut upstream = guard(now);
     for token in 0..20 {
-        let (decision, _) = above.arrive(now, call(token, LOW, now));
+        let (decision, _) = upstream.arrive(now, call(token, LOW, now));
         if decision != Decision::Start {
             continue;
         }
-        let met = OnwardOutcome {
+        let outcome = OnwardOutcome {
             service: "last".parse().expect("a name"),
             demand,
             refused: true,
             failed: true,
         };
-        above.record_onward(now, CallToken(token), &[met], false);
-        above.finish(now, CallToken(token), Outcome::Failed);
+        upstream.record_onward(now, CallToken(token), &[outcome], false);
+        upstream.finish(now, CallToken(token), Outcome::Failed);
     }
     let calls = 100..200;
-    let decide = |above: &mut Admission, rank| {
+    let decide = |upstream: &mut Admission, rank| {
         let refused = calls.clone().filter(|token| {
-            let (decision, _) = above.arrive(now, call(*token, rank, now));
-            above.finish(now, CallToken(*token), Outcome::Answered);
+            let (decision, _) = upstream.arrive(now, call(*token, rank, now));
+            upstream.finish(now, CallToken(*token), Outcome::Answered);
             decision == Decision::Shed(Shed::Downstream)
         });
         refused.count()
     };
-    let low = decide(&mut above, LOW);
+    let low = decide(&mut upstream, LOW);
     assert!(
         low > 50,
-        "{low} of 100 refused before they use the server above"
+        "{low} of 100 refused before they use the server upstream"
     );
-    assert_eq!(decide(&mut above, HIGH), 0);
+    assert_eq!(decide(&mut upstream, HIGH), 0);
 }
