--- a/src/policy/admission/downstream.rs
+++ b/src/policy/admission/downstream.rs
@@ -23,19 +23,23 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceLevels {
+    /// The level of the service itself.
     level: LastLevel,
+    /// The level of services downstream of it, and the classes that it applies to.
     downstream: LastLevel,
     classes: RankSet,
+    /// Classes whose last refused call failed.
     needed_by: RankSet,
+    /// The share of each class's calls that use the service.
     callers: ClassShares,
 }
 
 /// Tracks the level below which calls would fail downstream.
 ///
 /// Each answer to an onward call carries the levels that the called service demands.
-/// They apply to a class only if many of its calls use the service, and only from a
-/// call that failed after the service had refused until one that was answered in
-/// spite of a refusal. Calls that don't depend on the service are thus not refused.
+/// They apply to a class only if many of its calls use the service, and only since a
+/// refusal by the service made one of them fail, until one is answered in spite of a
+/// refusal. Calls that don't depend on the service are thus not refused.
 #[derive(Debug, Default)]
 pub struct DownstreamLevels {
     services: BTreeMap<ServiceName, ServiceLevels>,
--- a/src/policy/admission/queue.rs
+++ b/src/policy/admission/queue.rs
@@ -15,7 +15,7 @@
 pub struct QueuedCall {
     /// Identifies the call.
     pub token: CallToken,
-    /// Its rank in the order of admission.
+    /// Its position in the order of admission.
     pub priority: Priority,
     /// The workspace that it is made for, if known.
     pub workspace: Option<WorkspaceId>,
--- a/src/policy/admission/wait_queue.rs
+++ b/src/policy/admission/wait_queue.rs
@@ -131,12 +131,12 @@
     pub(super) fn settle(
         &mut self,
         now: Instant,
-        paid: SlotCharge,
+        charge: SlotCharge,
         started: Instant,
         outcome: Outcome,
     ) {
         if let Self::Fair(queue) = self {
-            queue.settle(now, paid, started, outcome);
+            queue.settle(now, charge, started, outcome);
         }
     }
 
