--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,8 +9,8 @@
 use crate::declare::{Errors, parse, read};
 use crate::error::Error;
 use crate::model::{CentreName, HallName, ServiceName, Span};
-use crate::policy::front::Front;
-use crate::policy::rate::Terms;
+use crate::policy::front::FrontMode;
+use crate::policy::rate::RateTolerance;
 use crate::policy::retry::AllowanceSettings;
 use crate::policy::route::Balance;
 
@@ -44,7 +44,7 @@
     /// What the platform allows of retries.
     pub repeats: AllowanceSettings,
     /// What the platform tolerates of workspaces that exceed their rates.
-    pub rates: Terms,
+    pub rates: RateTolerance,
 }
 
 /// The settings of one daemon.
@@ -71,7 +71,7 @@
     /// Where metrics go by UDP, if anywhere.
     pub metrics: Option<SocketAddr>,
     /// Which trees of calls begin, and when refused callers return.
-    pub front: Front,
+    pub front: FrontMode,
     /// Threads that take calls from callers.
     pub workers: usize,
     /// Requests of one connection of a caller that may be under way; with one
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -15,8 +15,8 @@
     AttemptId, CallerName, ClassRank, Depth, OnceKey, Priority, Retries, RootId, ServiceName,
     WorkspaceId, WorkspaceName,
 };
-use crate::policy::front::Options;
-use crate::policy::retry::Safety;
+use crate::policy::front::FrontOptions;
+use crate::policy::retry::RepeatSafety;
 use crate::tables::{Held, Shared};
 
 /// A request that was understood.
@@ -26,7 +26,7 @@
     /// The call of the own backend server that this one serves, if any.
     pub(super) parent: Option<Arc<Held>>,
     /// Whether the call may run twice.
-    pub(super) safety: Safety,
+    pub(super) safety: RepeatSafety,
     /// Retries of the request, if it has no parent.
     pub(super) retries: Retries,
     /// Most backend servers that the call is sent to.
@@ -40,7 +40,7 @@
     /// The workspace of the caller's key.
     pub(super) workspace: Option<CallerWorkspace>,
     /// What the front decides besides the levels.
-    pub(super) options: Options,
+    pub(super) options: FrontOptions,
     /// The time that the caller has, if it tells and a route matched.
     pub(super) patience: Option<Patience>,
 }
@@ -93,9 +93,9 @@
         None => class.idempotent || parts.method.is_safe(),
     };
     let safety = if once.is_some() || !idempotent {
-        Safety::Once
+        RepeatSafety::Unsafe
     } else {
-        Safety::Idempotent
+        RepeatSafety::Safe
     };
     let head = head(
         parts,
@@ -179,7 +179,7 @@
 fn is_single(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
     let table = shared.routes.table(service);
     let table = table.lock();
-    table.is_single(rank)
+    table.is_single_call(rank)
 }
 
 fn head(
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -24,8 +24,8 @@
 use crate::model::{Asked, CallId, CallerName, Fingerprint, OnceKey, ServiceName, Verdict};
 use crate::peer::Pool;
 use crate::policy::admission::Shed;
-use crate::policy::once::Refuse;
-use crate::policy::retry::Repeats;
+use crate::policy::once::OnceRefusal;
+use crate::policy::retry::RepeatDetector;
 use crate::policy::route::TargetState;
 use crate::tables::{Detail, Shared, Step};
 use crate::web::{CallerAnswer, Payload};
@@ -40,7 +40,7 @@
 /// Takes calls and brings back their answers.
 pub struct Entry {
     pub(super) context: Context,
-    repeats: Mutex<Repeats>,
+    repeats: Mutex<RepeatDetector>,
     in_flight: AtomicUsize,
     closed: AtomicBool,
 }
@@ -294,7 +294,7 @@
     /// Offers a key that can be used now, where the one that was sent cannot.
     fn ticket(&self, accepted: &Accepted, refusal: &Refusal) -> Option<OnceKey> {
         match refusal.reason() {
-            Reason::Once(Refuse::NotOwned | Refuse::NoPlatform) => {
+            Reason::Once(OnceRefusal::NotOwned | OnceRefusal::NoPlatform) => {
                 self.issue(&accepted.head.service)
             }
             _ => None,
--- /dev/null
+++ b/src/guard/once_calls.rs
@@ -0,0 +1,190 @@
+//! Once calls at one guard: the ledger, and repeats that wait for a run.
+
+use std::collections::HashMap;
+
+use bytes::Bytes;
+use parking_lot::Mutex;
+use tokio::sync::watch;
+use xxhash_rust::xxh3::Xxh3;
+
+use crate::call::{CallHead, Refusal};
+use crate::model::{MintTime, OnceKey, Retries};
+use crate::policy::once::{
+    KeyState, Ledger, LedgerLimits, OnceDecision, OnceRefusal, StoredAnswer,
+};
+
+/// How a run of a once call ended.
+#[derive(Clone, Debug)]
+pub(super) struct RunOutcome {
+    pub(super) result: Result<StoredAnswer, Refusal>,
+    /// Retries that go home to the attempt that started the run.
+    pub(super) account: Retries,
+}
+
+/// What to do with an arriving once call.
+pub(super) enum OnceAction {
+    /// Run it and report the end; `resumed` if the key came before.
+    Run {
+        resumed: bool,
+        outcome: OutcomeReceiver,
+    },
+    /// Wait for the run that is under way.
+    Attach(OutcomeReceiver),
+    /// Give this answer.
+    Answer(StoredAnswer),
+    /// Refuse it.
+    Refuse(OnceRefusal),
+}
+
+/// Receives the end of a run.
+pub(super) type OutcomeReceiver = watch::Receiver<Option<RunOutcome>>;
+
+struct OnceState {
+    ledger: Ledger,
+    running: HashMap<OnceKey, watch::Sender<Option<RunOutcome>>>,
+}
+
+/// The ledger with the runs under way.
+pub struct OnceCalls {
+    state: Mutex<OnceState>,
+}
+
+impl OnceCalls {
+    /// Makes an empty ledger with bounds.
+    pub fn new(limits: LedgerLimits) -> Self {
+        Self {
+            state: Mutex::new(OnceState {
+                ledger: Ledger::new(limits),
+                running: HashMap::new(),
+            }),
+        }
+    }
+
+    /// Takes changed bounds.
+    pub fn set_limits(&self, limits: LedgerLimits) {
+        self.state.lock().ledger.set_limits(limits);
+    }
+
+    pub(super) fn begin(&self, now: MintTime, key: &OnceKey, hash: u64) -> OnceAction {
+        let mut state = self.state.lock();
+        let begin = state.ledger.begin(now, key, hash);
+        let resumed = begin == OnceDecision::Resume;
+        match begin {
+            OnceDecision::Start | OnceDecision::Resume => {
+                let (sender, outcome) = watch::channel(None);
+                state.running.insert(key.clone(), sender);
+                OnceAction::Run { resumed, outcome }
+            }
+            OnceDecision::Attach => match state.running.get(key) {
+                Some(sender) => OnceAction::Attach(sender.subscribe()),
+                None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
+            },
+            OnceDecision::Answer(kept) => OnceAction::Answer(kept),
+            OnceDecision::Refuse(refuse) => OnceAction::Refuse(refuse),
+        }
+    }
+
+    /// Looks for the outcome of a key without starting anything.
+    pub(super) fn inquire(&self, key: &OnceKey) -> OnceAction {
+        let state = self.state.lock();
+        match state.ledger.get(key).map(|entry| &entry.state) {
+            Some(KeyState::Running) => match state.running.get(key) {
+                Some(sender) => OnceAction::Attach(sender.subscribe()),
+                None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
+            },
+            Some(KeyState::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
+            Some(KeyState::Done(_)) => OnceAction::Refuse(OnceRefusal::AnswerNotKept),
+            Some(KeyState::Unknown) => OnceAction::Refuse(OnceRefusal::OutcomeLost),
+            Some(KeyState::Claimed) | None => OnceAction::Refuse(OnceRefusal::Unseen),
+        }
+    }
+
+    /// Ends a run.
+    pub(super) fn finish_run(&self, key: &OnceKey, update: LedgerUpdate, outcome: RunOutcome) {
+        let mut state = self.state.lock();
+        match (update, &outcome.result) {
+            (LedgerUpdate::Finish, Ok(kept)) => state.ledger.finish(key, kept.clone()),
+            (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.mark_lost(key),
+            (LedgerUpdate::Release, _) => state.ledger.release(key),
+            (LedgerUpdate::Retract, _) => state.ledger.remove(key),
+        }
+        if let Some(sender) = state.running.remove(key) {
+            sender.send_replace(Some(outcome));
+        }
+    }
+
+    /// Starts no key from now on, for good.
+    pub fn stop(&self) {
+        self.state.lock().ledger.stop();
+    }
+
+    /// Returns the entries and the bound of forgotten keys, for a hand-over.
+    pub fn export(&self) -> (Vec<(OnceKey, KeyState, u64)>, MintTime) {
+        let state = self.state.lock();
+        let entries = state
+            .ledger
+            .entries()
+            .map(|(key, entry)| (key.clone(), entry.state.clone(), entry.body_hash))
+            .collect();
+        (entries, state.ledger.forgotten())
+    }
+
+    /// Takes over the ledger of an instance that stops; `false` if this one
+    /// stops itself.
+    pub fn adopt(
+        &self,
+        now: MintTime,
+        entries: Vec<(OnceKey, KeyState, u64)>,
+        forgotten: MintTime,
+    ) -> bool {
+        let mut state = self.state.lock();
+        if state.ledger.is_stopped() {
+            return false;
+        }
+        state.ledger.adopt_forgotten(forgotten);
+        for (key, entry_state, hash) in entries {
+            state.ledger.adopt(now, key, entry_state, hash);
+        }
+        true
+    }
+
+    /// Tells whether a call with `key` can be answered without starting it.
+    pub fn has_begun(&self, key: &OnceKey) -> bool {
+        self.state.lock().ledger.has_begun(key)
+    }
+
+    /// Returns the number of runs under way, those not yet started included.
+    pub fn in_flight(&self) -> usize {
+        self.state.lock().running.len()
+    }
+
+    /// Returns the number of keys and the bytes that are accounted for.
+    pub fn size(&self) -> (usize, usize) {
+        let state = self.state.lock();
+        (state.ledger.len(), state.ledger.bytes())
+    }
+}
+
+/// What the end of a run means for the ledger.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LedgerUpdate {
+    /// It ran and was answered.
+    Finish,
+    /// It may have run.
+    Lose,
+    /// It did not run and may be started later.
+    Release,
+    /// Another instance owns it.
+    Retract,
+}
+
+/// Hashes what must be the same in a repeat: method, target and body.
+pub fn body_hash(head: &CallHead, body: &Bytes) -> u64 {
+    let mut hasher = Xxh3::new();
+    hasher.update(head.method.as_str().as_bytes());
+    hasher.update(&[0]);
+    hasher.update(head.target.as_bytes());
+    hasher.update(&[0]);
+    hasher.update(body);
+    hasher.digest()
+}
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -106,7 +106,7 @@
             other => version_of(&self.shared, &self.pool, other).await,
         };
         let table = self.shared.routes.table(&member.service);
-        let pace = table.lock().pace(Instant::now(), member.instance);
+        let pace = table.lock().latency_ratio(Instant::now(), member.instance);
         MemberLine {
             instance: member.instance,
             centre: member.centre,
@@ -223,7 +223,7 @@
     async fn announce(&self, body: RequestBody) -> HttpResponse {
         match read::<Announce>(body).await {
             Ok(announce) => {
-                self.guard.announce(announce.cold);
+                self.guard.renew_lease(announce.cold);
                 answer_text(StatusCode::OK, "announced\n")
             }
             Err(why) => answer_text(StatusCode::BAD_REQUEST, why),
