--- a/src/policy/route/balance.rs
+++ b/src/policy/route/balance.rs
@@ -1,4 +1,4 @@
-//! By what targets are compared.
+//! Criterion by which targets are compared.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,20 +7,21 @@
 
 use crate::error::Error;
 
-/// By what targets are compared.
+/// Criterion by which targets are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Balance {
-    /// By their load.
+    /// Load.
     #[default]
     Load,
-    /// By the time that an answer is expected to take there.
+    /// Expected time of an answer.
     Time,
-    /// By time where a slow answer is worth nothing, else by load.
+    /// Expected time where a late answer is worthless, otherwise load.
     Auto,
 }
 
 impl Balance {
-    /// Tells whether time is compared in an estate where requests end early.
+    /// Returns whether targets are compared by time, given whether the estate
+    /// ends requests early.
     pub fn is_by_time(self, ends_early: bool) -> bool {
         match self {
             Self::Load => false,
--- a/src/policy/route/call_kind.rs
+++ b/src/policy/route/call_kind.rs
@@ -1,12 +1,13 @@
-//! Kinds of calls.
+//! Kind of a call.
 
 use crate::model::{ClassRank, Depth};
 
-/// Calls of one service that take alike: of one class, as deep in their tree.
+/// Calls of one service that take similar time: of one class, at one depth of the
+/// call tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CallKind {
-    /// The class.
+    /// Class of the calls.
     pub rank: ClassRank,
-    /// How many calls stand above.
+    /// Number of calls above them in the call tree.
     pub depth: Depth,
 }
--- a/src/policy/route/call_time.rs
+++ b/src/policy/route/call_time.rs
@@ -1,12 +1,12 @@
-//! How long a call took.
+//! Time that a call took.
 
 use std::time::Duration;
 
-/// How long a call took at its target.
+/// Time that a call took at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallTime {
-    /// Until it was answered.
+    /// Time until it was answered.
     Answered(Duration),
-    /// Until it ended without an answer.
+    /// Time until it ended without a successful answer.
     Unanswered(Duration),
 }
--- a/src/policy/route/eject.rs
+++ b/src/policy/route/eject.rs
@@ -1,4 +1,4 @@
-//! Passive ejection of targets that fail.
+//! Passive ejection of failing targets.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use crate::model::Instance;
 
-/// Failures in a row after which a target is ejected.
+/// Consecutive failures after which a target is ejected.
 const EJECTION_FAILURES: u32 = 5;
-/// First time a target stays out.
+/// Duration of the first ejection; it doubles with each further one.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
-/// Longest time a target stays out.
+/// Longest duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(10);
-/// Largest share of targets that may be out.
+/// Largest share of targets that failed calls may eject.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,10 +24,10 @@
     probing: bool,
 }
 
-/// Remembers failures by target and keeps failing ones out for a while.
+/// Tracks failures by target and ejects failing ones for a while.
 ///
-/// Only what calls met counts; health endpoints are not asked, since they lag
-/// or mislead. When its time is over a target gets one call; that call's end
+/// Only the outcome of calls counts; health endpoints are not queried, since they
+/// lag or mislead. After an ejection a target gets one probe call, whose outcome
 /// decides on its readmission.
 #[derive(Debug, Default)]
 pub struct Ejector {
@@ -35,15 +35,15 @@
 }
 
 impl Ejector {
-    /// Takes note of a call that was answered or refused in good order.
+    /// Records a call that was answered or properly refused.
     pub fn record_success(&mut self, target: Instance) {
-        // Seldom has any target failed, and a look-up costs more than this.
+        // Usually no target has failed, and this check is cheaper than a look-up.
         if !self.records.is_empty() {
             self.records.remove(&target);
         }
     }
 
-    /// Takes note of a call that failed; `known` is the number of targets.
+    /// Records a failed call; `target_count` is the number of known targets.
     pub fn record_failure(&mut self, now: Instant, target: Instance, target_count: usize) {
         let ejected = self.ejected_count(now);
         let record = self.records.entry(target).or_default();
@@ -61,16 +61,15 @@
         record.ejected_until = Some(now + time.min(MAX_EJECTION_TIME));
     }
 
-    /// Takes note that a target cannot be reached at all, which says more than
-    /// a call that failed there.
+    /// Records that a target cannot be reached at all, which ejects it at once.
     pub fn record_unreachable(&mut self, now: Instant, target: Instance, target_count: usize) {
         let record = self.records.entry(target).or_default();
         record.probing = true;
-        // However many are out, a target that cannot be reached is no use.
+        // An unreachable target is of no use, however many are ejected.
         self.record_failure(now, target, target_count);
     }
 
-    /// Takes note of a call that ended without telling anything of `target`.
+    /// Records a call that ended without evidence about `target`.
     pub fn record_abandoned(&mut self, now: Instant, target: Instance) {
         if let Some(record) = self.records.get_mut(&target)
             && std::mem::take(&mut record.probing)
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Tells whether a call may go to `target` now.
+    /// Returns whether a call may go to `target` now.
     pub fn admits(&self, now: Instant, target: Instance) -> bool {
         match self.records.get(&target) {
             Some(record) => {
@@ -89,8 +88,7 @@
         }
     }
 
-    /// Takes note that a call goes to `target`; after an ejection it is the
-    /// one call that decides.
+    /// Records a call sent to `target`; after an ejection it is the probe.
     pub fn record_sent(&mut self, target: Instance) {
         if let Some(record) = self.records.get_mut(&target)
             && record.ejected_until.take().is_some()
@@ -99,7 +97,7 @@
         }
     }
 
-    /// Forgets targets that `keep` does not know.
+    /// Removes the records of targets for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&Instance) -> bool) {
         self.records.retain(|target, _| keep(target));
     }
--- a/src/policy/route/kind_means.rs
+++ b/src/policy/route/kind_means.rs
@@ -1,4 +1,4 @@
-//! What calls of each kind take in the mean.
+//! Mean time of calls by kind.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use super::CallKind;
 use super::smoothing::Smoothing;
 
-/// Most kinds that are told apart; calls of further ones teach nothing.
+/// Most kinds that are tracked; calls of further kinds are ignored.
 const MAX_KINDS: usize = 32;
-/// How a mean is learned: it follows load that comes and goes in seconds.
+/// Smoothing of a mean, which follows load that changes within seconds.
 const MEAN_SMOOTHING: Smoothing = Smoothing {
     half_life: Duration::from_secs(2),
     max_weight: 0.125,
     prior_count: 1.0,
 };
-/// Shortest time that is told apart.
+/// Shortest time that is distinguished.
 const MIN_TIME: Duration = Duration::from_micros(100);
 
 #[derive(Clone, Copy, Debug)]
@@ -26,23 +26,24 @@
     updated_at: Instant,
 }
 
-/// What calls of each kind take in the mean of a service's servers.
+/// Mean time of calls by kind, over the servers of a service.
 ///
-/// Each answer is first freed of what its server's own speed makes of it;
-/// otherwise the mean would follow the fast servers, which get most calls.
+/// Each answer is first corrected for its server's steady ratio; otherwise the
+/// mean would follow the fast servers, which get most calls.
 #[derive(Debug, Default)]
 pub(super) struct KindMeans {
     kinds: HashMap<CallKind, Mean>,
 }
 
 impl KindMeans {
-    /// Returns the logarithm by which a time exceeds the mean of its kind, if
-    /// that is known.
+    /// Returns the logarithm by which a time exceeds the mean of its kind, if the
+    /// mean is known.
     pub(super) fn log_excess(&self, kind: CallKind, time: Duration) -> Option<f64> {
         self.kinds.get(&kind).map(|mean| log(time) - mean.log)
     }
 
-    /// Takes note of an answer of a server whose own speed is `own`.
+    /// Records an answer of a server whose steady ratio has the logarithm
+    /// `steady_log`.
     pub(super) fn record_answer(
         &mut self,
         now: Instant,
--- a/src/policy/route/latency.rs
+++ b/src/policy/route/latency.rs
@@ -1,9 +1,8 @@
-//! The choice between targets by the time that an answer takes there.
+//! Choice of a target by expected latency.
 //!
-//! Load pattern: servers of one service differ in speed two- to threefold,
-//! some turn slow for half a second, and callers give up soon after what an
-//! answer takes in the mean. Most servers stand nearly idle, so that nearly
-//! all calls could be answered by fast ones.
+//! Servers of one service differ in speed two- to threefold, some slow down for
+//! half a second, and callers give up soon after the mean time of an answer. Most
+//! servers are nearly idle, so nearly all calls can be answered by fast ones.
 
 use rand::Rng;
 use tokio::time::Instant;
@@ -11,27 +10,27 @@
 use super::Target;
 use super::pick::{PickInput, draw, spill as spill_by_load};
 
-/// Targets that are compared where they have little to do: with a third of
-/// them fast, a fast one is among them seven times in eight.
+/// Most targets that are compared while they have little load. With a third of
+/// the servers fast, five include a fast one seven times in eight.
 const MAX_COMPARED: usize = 5;
-/// Load above which two are compared, since what was heard of load is older
-/// than the load.
+/// Load above which only two are compared, since reported loads are out of date.
 const BUSY_LOAD: f64 = 0.25;
-/// Load of a server that has no slot free.
+/// Load of a server without a free slot.
 const SATURATED_LOAD: f64 = 1.0;
 
-/// How many times as long an answer of the own data centre must be expected to
-/// take for a call to go to another one, since bytes between them are dear.
+/// Factor by which an answer from the own data centre must be expected to take
+/// longer before a call goes to another one, since traffic between them is
+/// expensive.
 const SPILL_LATENCY_RATIO: f64 = 1.5;
 
-/// Tells whether an answer of a target is expected to take long enough that
-/// other data centres are looked at.
+/// Returns whether a target is expected to be slow enough that other data centres
+/// are considered.
 pub(super) fn is_slow(now: Instant, near: &Target) -> bool {
     near.expected_latency(now) >= SPILL_LATENCY_RATIO
 }
 
-/// Prefers the far target if the near one is full while the far one has room,
-/// or if the far one, its way included, answers in clearly less time.
+/// Prefers the far target if the near one is full while the far one has capacity,
+/// or if the far one is clearly faster, network time included.
 pub(super) fn spill<'a>(now: Instant, near: &'a Target, far: &'a Target) -> &'a Target {
     if near.is_full(now) {
         return spill_by_load(now, near, far);
@@ -44,8 +43,8 @@
     }
 }
 
-/// Returns the best of some random targets: two, or more where they have
-/// little to do; where those have no slot free, any that has.
+/// Returns the best of a random sample of targets: two, or more while they have
+/// little load; if the best has no free slot, any target that has one.
 pub(super) fn best<'a, R: Rng>(
     now: Instant,
     input: PickInput<'_>,
@@ -65,8 +64,8 @@
     Some(with_free_slot(now, input, targets, rng).unwrap_or(best))
 }
 
-/// Returns the target that answers sooner; a full one only where both are, and
-/// then the one with less load.
+/// Returns the target with the lower expected latency; a full one only if both
+/// are full, and then the less loaded one.
 fn better_of<'a>(now: Instant, one: &'a Target, other: &'a Target) -> &'a Target {
     let is_other = match (one.is_full(now), other.is_full(now)) {
         (true, true) => other.load(now) < one.load(now),
@@ -76,7 +75,7 @@
     if is_other { other } else { one }
 }
 
-/// Returns the first target with a slot free from a random place on.
+/// Returns the first target with a free slot, from a random position on.
 fn with_free_slot<'a, R: Rng>(
     now: Instant,
     input: PickInput<'_>,
--- a/src/policy/route/mod.rs
+++ b/src/policy/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server takes a call.
+//! Choice of the backend server that takes a call.
 
 mod balance;
 mod call_kind;
--- a/src/policy/route/pick.rs
+++ b/src/policy/route/pick.rs
@@ -1,4 +1,4 @@
-//! The choice between targets.
+//! Choice of a target for a call.
 
 use rand::Rng;
 use tokio::time::Instant;
@@ -6,43 +6,43 @@
 use super::{Ejector, Target, TargetState, latency};
 use crate::model::{Demand, Instance, Level, RankSet};
 
-/// Load of the own data centre above which others are considered.
+/// Load of the own data centre from which others are considered.
 const SPILL_LOAD: f64 = 0.9;
-/// Targets whose levels are looked at.
+/// Most targets whose demanded levels are averaged.
 const DEMAND_SAMPLE_SIZE: usize = 8;
-/// Random draws before all targets are looked through.
+/// Random draws before all targets are searched in turn.
 const MAX_RANDOM_DRAWS: usize = 4;
 
-/// What came of a choice.
+/// Result of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// Send the call there.
+    /// Send the call to this target.
     Target(Instance),
-    /// No server has room below the rate that it named; the call may wait there,
-    /// where there is some first.
+    /// No server has capacity within its rate limit; the call may wait at this
+    /// one, which is the first to have some.
     Wait(Instance),
-    /// Every target is known to refuse work of this level.
+    /// The call's level is too low; the targets demand this one.
     Refused(Level),
-    /// There is no target that can be reached.
+    /// No target can be reached.
     NoTarget,
 }
 
-/// What a choice is made from.
+/// Inputs of a choice.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PickInput<'a> {
-    /// The targets in the entry's own data centre.
+    /// Targets in the entry's own data centre.
     pub(super) near: &'a [Target],
-    /// The targets in other data centres.
+    /// Targets in other data centres.
     pub(super) far: &'a [Target],
-    /// Targets that are not to be chosen again.
+    /// Targets that must not be chosen again.
     pub(super) exclude: &'a [Instance],
-    /// The smallest share of calls that any target fails by itself.
+    /// Smallest fault share of any serving target.
     pub(super) min_fault_share: f64,
-    /// Which targets are out.
+    /// Tracks which targets are ejected.
     pub(super) ejector: &'a Ejector,
-    /// The call that a target is wanted for.
+    /// The call that needs a target.
     pub(super) needs: CallNeeds,
-    /// Whether targets are compared by time.
+    /// Whether targets are compared by expected latency instead of load.
     pub(super) by_time: bool,
 }
 
@@ -51,7 +51,7 @@
         target.state == TargetState::Serving && !self.exclude.contains(&target.instance)
     }
 
-    /// Tells whether a target is in order, whether or not it has room.
+    /// Returns whether a target is fit for the call, apart from its rate limit.
     fn is_healthy(&self, now: Instant, target: &Target) -> bool {
         self.is_candidate(target)
             && self.needs.avoid != Some(target.instance)
@@ -64,24 +64,25 @@
     }
 }
 
-/// The call that a target is wanted for.
+/// Requirements that a call has of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallNeeds {
-    /// Its admission level.
+    /// Admission level of the call.
     pub level: Level,
     /// Whether its class is protected.
     pub protected: bool,
-    /// A target that it has failed at.
+    /// Target at which the call has failed.
     pub avoid: Option<Instance>,
 }
 
-/// Returns what a set of targets demands of calls: the mean of some of those
-/// that were heard from just now, or of what is left of older news.
+/// Returns what a set of targets demands of calls: the mean of some that have a
+/// fresh level, or of a sample of all serving ones if none has.
 ///
-/// The mean, rather than the least, keeps entries from sending all at the one
-/// guard that happens to demand least. Silent targets have no part in it: in an
-/// estate of many VMs an entry hears from few of its targets in any moment, and
-/// counting the others as open lets in several times what can be served.
+/// The mean rather than the minimum keeps entries from sending all calls to the
+/// one guard that happens to demand least. Targets without a fresh level are left
+/// out: with many VMs an entry gets answers from only a few of its targets at any
+/// moment, and counting the others as open would admit several times what can be
+/// served.
 pub(super) fn demand(now: Instant, targets: &[Target], protected: bool) -> Demand {
     let serving = || targets.iter().filter(|t| t.state == TargetState::Serving);
     let fresh = serving().filter(|target| target.has_fresh_level(now));
@@ -91,8 +92,8 @@
     })
 }
 
-/// Chooses the target that has room first of those whose servers have named a
-/// rate and have none now, if there are any.
+/// Chooses the target that is the first to have rate capacity, among healthy ones
+/// that have none now.
 fn soonest_available(now: Instant, input: PickInput<'_>) -> Option<Pick> {
     let all = || input.near.iter().chain(input.far);
     let limited = || all().filter(|t| input.is_healthy(now, t) && !t.has_rate_capacity(now));
@@ -105,7 +106,7 @@
     Some(Pick::Wait(first.instance))
 }
 
-/// Returns the mean of what some targets demand, if there are any.
+/// Returns the mean demand of some targets, or `None` without targets.
 fn mean_demand<'t>(
     now: Instant,
     targets: impl Iterator<Item = &'t Target>,
@@ -129,8 +130,8 @@
     })
 }
 
-/// Chooses a target for a call: the better of two random ones of the own data
-/// centre; of others if the own one has too much work or none.
+/// Chooses a target for a call: the best of a random sample in the own data
+/// centre, or one elsewhere if the own data centre is busy, slow or has none.
 pub(super) fn pick<R: Rng>(now: Instant, input: PickInput<'_>, rng: &mut R) -> Pick {
     let needs = input.needs;
     let near = best(now, input, input.near, rng);
@@ -162,8 +163,8 @@
     }
 }
 
-/// Prefers the far target only if the near one is full while the far one has
-/// room to spare.
+/// Prefers the far target only if it has capacity to spare and less load than the
+/// near one.
 pub(super) fn spill<'a>(now: Instant, near: &'a Target, far: &'a Target) -> &'a Target {
     let far_load = far.load(now);
     if far_load < SPILL_LOAD && far_load < near.load(now) {
@@ -173,7 +174,7 @@
     }
 }
 
-/// Returns the best of some random targets.
+/// Returns the best of a random sample of targets.
 fn best<'a, R: Rng>(
     now: Instant,
     input: PickInput<'_>,
@@ -224,7 +225,7 @@
     around.find(|target| input.is_usable(now, target))
 }
 
-/// Chooses any target that serves, where none is in order.
+/// Chooses any serving target, for use where none is healthy.
 fn last_resort<R: Rng>(input: PickInput<'_>, rng: &mut R) -> Pick {
     let all = || input.near.iter().chain(input.far);
     let open = || all().filter(|target| input.is_candidate(target));
--- a/src/policy/route/smoothing.rs
+++ b/src/policy/route/smoothing.rs
@@ -1,21 +1,21 @@
-//! Weights of what is learned one by one.
+//! Exponential smoothing of samples at irregular times.
 
 use std::time::Duration;
 
-/// How much one piece of news counts for against all before it.
+/// Weight of a sample against all earlier ones.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Smoothing {
-    /// Time in which many pieces of news replace half of what was known.
+    /// Time in which frequent samples replace half of the earlier value.
     pub(super) half_life: Duration,
-    /// The most that one counts for.
+    /// Largest weight that a sample gets for the time since the last one.
     pub(super) max_weight: f64,
-    /// How many pieces of news what is taken for granted at first counts for.
+    /// Number of samples that the initial value counts for.
     pub(super) prior_count: f64,
 }
 
 impl Smoothing {
-    /// Returns the weight of news that comes after `count` others, the last of
-    /// them `since` ago.
+    /// Returns the weight of a sample that follows `count` others, the last of
+    /// them `elapsed` ago.
     pub(super) fn weight(&self, count: u32, elapsed: Duration) -> f64 {
         let count_weight = 1.0 / (f64::from(count) + self.prior_count);
         let time_weight = 1.0 - decay_factor(elapsed, self.half_life);
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns what is left of a value of some age.
+/// Returns what remains of a value of some age.
 pub(super) fn decayed(value: f64, age: Duration, half_life: Duration) -> f64 {
     value * decay_factor(age, half_life)
 }
--- a/src/policy/route/split.rs
+++ b/src/policy/route/split.rs
@@ -1,18 +1,18 @@
-//! The division of a route's requests among services.
+//! Distribution of a route's requests among services.
 
-/// Deals requests out in proportion to weights, as evenly as can be.
+/// Distributes requests in proportion to weights, as evenly as possible.
 ///
-/// Each choice adds every weight to the credit of its place, takes the place
-/// with most credit and charges it the sum; so any run of choices lies within
-/// one request of the exact shares.
+/// Each choice adds every weight to the credit of its index, takes the index with
+/// the most credit and subtracts the sum of weights from it, so that any run of
+/// choices is within one request of the exact shares.
 #[derive(Clone, Debug, Default)]
 pub struct Split {
     credits: Vec<i64>,
 }
 
 impl Split {
-    /// Makes a division among `places`, which starts at a random point so that
-    /// entries which start together do not choose alike.
+    /// Creates a split that starts at `offset`; a random one keeps entries that
+    /// start together from choosing alike.
     pub fn new(weights: &[u32], offset: f64) -> Self {
         let sum: i64 = weights.iter().copied().map(i64::from).sum();
         let credits = weights
@@ -26,7 +26,7 @@
         Self { credits }
     }
 
-    /// Returns the place that takes the next request; `None` if all weights
+    /// Returns the index that takes the next request, or `None` if all weights
     /// are 0.
     pub fn next(&mut self, weights: &[u32]) -> Option<usize> {
         self.credits.resize(weights.len(), 0);
--- a/src/policy/route/subset.rs
+++ b/src/policy/route/subset.rs
@@ -1,4 +1,4 @@
-//! The part of a service's backend servers that one entry connects to.
+//! Subset of a service's backend servers that one entry connects to.
 
 use crate::model::{Connections, Instance};
 
@@ -6,14 +6,14 @@
 const MIN_SUBSET_SIZE: usize = 4;
 /// Most backend servers of a data centre in a subset.
 const MAX_SUBSET_SIZE: usize = 20;
-/// Share of a server's connections that daemons may use; the rest is for
+/// Share of a server's connections that daemons may use; the rest is reserved for
 /// reconnections and uneven hashing.
 const CONNECTION_SHARE: f64 = 0.5;
 
-/// Computes how many of `servers` one of `entries` may connect to.
+/// Computes how many of `servers` each of `entries` may connect to.
 ///
-/// With subsets of `k`, a server has `entries * k / servers` connections in
-/// the mean; `k` is chosen so that this stays within half of its limit.
+/// With subsets of size `k`, a server has `entries * k / servers` connections on
+/// average; `k` is chosen to keep this within half of its limit.
 pub fn subset_size(entries: usize, servers: usize, limit: Connections) -> usize {
     if entries == 0 || servers == 0 {
         return servers;
@@ -25,10 +25,10 @@
         .min(servers)
 }
 
-/// Chooses `size` of `servers` for the entry `own` by rendezvous hashing.
+/// Chooses `size` of `servers` for `entry` by rendezvous hashing.
 ///
-/// The choice is the same each time, and a server that comes or goes changes
-/// at most one place of a subset.
+/// The choice is deterministic, and a server that comes or goes changes at most
+/// one member of a subset.
 pub fn subset(entry: u64, servers: &[Instance], size: usize) -> Vec<Instance> {
     let mut ranked: Vec<(u64, Instance)> = servers
         .iter()
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, as one entry uses them.
+//! Targets of one service as seen by one entry.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use crate::policy::admission::Shares;
 use crate::policy::retry::RetryBudget;
 
-/// What a call met at its target.
+/// Outcome of an attempt at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReport {
-    /// The guard answered or refused, and told of itself.
+    /// The guard answered or refused the call and sent its status.
     Responded(GuardNews),
-    /// The guard told of itself, and that its backend server refused the call.
+    /// The backend server refused the call, and its guard sent its status.
     Rejected(GuardNews),
-    /// The connection failed, went silent or gave garbage.
+    /// The connection failed, stopped responding or returned invalid data.
     Failed,
     /// The daemon cannot be reached at all.
     Unreachable,
-    /// The caller went away first, which says nothing of the target.
+    /// The caller went away first, which says nothing about the target.
     Abandoned,
 }
 
-/// The targets of one service with all that is remembered of them.
+/// Targets of one service with everything recorded about them.
 #[derive(Debug)]
 pub struct Table {
     own_centre: CentreName,
@@ -37,9 +37,9 @@
     positions: HashMap<Instance, Position>,
     ejector: Ejector,
     retry_budget: RetryBudget,
-    /// Which of the callers' own calls make others.
+    /// How often the callers' own calls of each class lead to further calls.
     onward_shares: Shares,
-    /// What calls take, where targets are compared by time.
+    /// Mean time of each kind of call, if targets are compared by latency.
     kind_means: Option<KindMeans>,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Table {
-    /// Makes an empty table for an entry in the data centre `own`.
+    /// Creates an empty table for an entry in the data centre `own_centre`.
     pub fn new(own_centre: CentreName) -> Self {
         Self {
             own_centre,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Makes an empty table whose retries are bounded in another way.
+    /// Creates an empty table with a given retry budget.
     pub fn with_retry_budget(own_centre: CentreName, retry_budget: RetryBudget) -> Self {
         Self {
             retry_budget,
@@ -72,8 +72,7 @@
         }
     }
 
-    /// Takes a changed set of targets; what is known of those that stay is
-    /// kept.
+    /// Replaces the set of targets and keeps the state of those that remain.
     pub fn update(&mut self, targets: Vec<Target>) {
         let mut old: HashMap<Instance, Target> = self
             .near
@@ -82,13 +81,13 @@
             .map(|target| (target.instance, target))
             .collect();
         self.positions.clear();
-        for news in targets {
-            let target = match old.remove(&news.instance) {
+        for updated in targets {
+            let target = match old.remove(&updated.instance) {
                 Some(mut known) => {
-                    known.update_from(news);
+                    known.update_from(updated);
                     known
                 }
-                None => news,
+                None => updated,
             };
             self.insert(target);
         }
@@ -114,7 +113,7 @@
         self.choose_except(now, needs, &[], rng)
     }
 
-    /// Chooses a target that is not among those tried before.
+    /// Chooses a target that is not in `exclude`, and counts the call as sent.
     pub fn choose_except<R: Rng>(
         &mut self,
         now: Instant,
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Counts a call as sent to what was found.
+    /// Counts a call as sent to the picked target.
     fn count_sent(&mut self, picked: Pick) -> Pick {
         if let Pick::Target(instance) | Pick::Wait(instance) = picked {
             self.record_sent(instance);
@@ -151,29 +150,28 @@
         picked
     }
 
-    /// Returns how long calls wait for the rates that servers named, where none
-    /// that serves has room.
+    /// Returns the shortest delay until a serving target has rate capacity, or
+    /// `None` if one has capacity now or none is serving.
     pub fn rate_delay(&self, now: Instant) -> Option<Duration> {
         let serving = self.targets().filter(|t| t.state == TargetState::Serving);
         let min_fault_share = serving.map(|target| target.rate_delay(now)).min();
         min_fault_share.filter(|wait| !wait.is_zero())
     }
 
-    /// Returns the smallest share of calls that any serving target fails by
-    /// itself.
+    /// Returns the smallest fault share of any serving target.
     fn min_fault_share(&self, now: Instant) -> f64 {
         let serving = self.targets().filter(|t| t.state == TargetState::Serving);
         serving.map(|t| t.fault_share(now)).fold(1.0, f64::min)
     }
 
-    /// Tells whether a target was heard from just now.
+    /// Returns whether a target has sent its status recently.
     pub fn has_recent_status(&self, now: Instant, target: Instance) -> bool {
         let mut all = self.targets();
         all.any(|t| t.instance == target && t.has_recent_status(now))
     }
 
-    /// Chooses again among targets that a call has been refused by, the one
-    /// with the least load; the call waits there for a rate, if one was named.
+    /// Chooses the least loaded of the targets that have refused a call; the call
+    /// may wait there for the server's rate limit.
     pub fn choose_among(&mut self, now: Instant, among: &[Instance]) -> Pick {
         let open = self
             .targets()
@@ -190,7 +188,7 @@
         }
     }
 
-    /// Tells whether a call may go to `target` now, so far as failures tell.
+    /// Returns whether `target` is not ejected, so that a call may go there now.
     pub fn admits(&self, now: Instant, target: Instance) -> bool {
         self.ejector.admits(now, target)
     }
@@ -203,7 +201,7 @@
         }
     }
 
-    /// Takes note of what a call met.
+    /// Records the outcome of an attempt.
     pub fn report(&mut self, now: Instant, instance: Instance, report: AttemptReport) {
         let target_count = self.positions.len();
         match report {
@@ -233,7 +231,7 @@
         }
     }
 
-    /// Sets whether targets are compared by time.
+    /// Sets whether targets are compared by expected latency.
     pub fn set_by_time(&mut self, by_time: bool) {
         match (by_time, &self.kind_means) {
             (true, None) => self.kind_means = Some(KindMeans::default()),
@@ -242,8 +240,8 @@
         }
     }
 
-    /// Takes note of the time that a call took at its target; one that ended
-    /// without an answer counts only if it was slow.
+    /// Records the time that a call took at its target; one without a successful
+    /// answer counts only if it was slow.
     pub fn record_time(
         &mut self,
         now: Instant,
@@ -274,8 +272,8 @@
         self.kind_means = Some(kind_means);
     }
 
-    /// Returns how fast a target answers, where targets are compared by time
-    /// and it has answered.
+    /// Returns the latency of a target as a multiple of the mean, if targets are
+    /// compared by latency and it has answered.
     pub fn latency_ratio(&self, now: Instant, instance: Instance) -> Option<f64> {
         self.kind_means.as_ref()?;
         let target = self.targets().find(|t| t.instance == instance)?;
@@ -296,17 +294,18 @@
         demand(now, targets, false)
     }
 
-    /// Takes note of whether a caller's own call of a class made others.
+    /// Records whether a caller's own call of a class led to further calls.
     pub fn record_own_call(&mut self, rank: ClassRank, onward: bool) {
         self.onward_shares.record(rank, onward);
     }
 
-    /// Tells whether the callers' own calls of a class need no others.
+    /// Returns whether the callers' own calls of a class rarely lead to further
+    /// calls.
     pub fn is_single_call(&self, rank: ClassRank) -> bool {
         self.onward_shares.is_rare(rank)
     }
 
-    /// Returns what bounds the retries of the service.
+    /// Returns the retry budget of the service.
     pub fn retry_budget(&mut self) -> &mut RetryBudget {
         &mut self.retry_budget
     }
--- a/src/policy/route/target.rs
+++ b/src/policy/route/target.rs
@@ -1,4 +1,4 @@
-//! One backend server as an entry knows it.
+//! State of one backend server as seen by an entry.
 
 use std::time::Duration;
 
@@ -8,44 +8,45 @@
 use crate::model::{CentreName, Demand, GuardNews, Instance, RankSet, Slots};
 use crate::policy::admission::Heard;
 
-/// How long a guard that was heard from is taken to be within reach. A guard
-/// that stands idle in an estate at work is heard from a few times in this.
+/// Time after a status in which a guard counts as reachable. Even an idle guard
+/// in a busy estate sends its status a few times in this period.
 const REACHABLE_TIME: Duration = Duration::from_millis(300);
 /// Weight of one call in the share of calls that a backend server refuses by
-/// itself: some twenty calls make up the share.
+/// itself; the share spans about twenty calls.
 const REJECT_WEIGHT: f64 = 0.05;
-/// Load that a backend server counts as more if it refuses all calls. Twice
-/// its slots keep nearly all calls away while another refuses none, and make
-/// no difference where all refuse alike.
+/// Load that is added to a backend server that refuses all calls. Twice its slots
+/// keep nearly all calls away while another refuses none, and make no difference
+/// where all refuse equally.
 const REJECT_LOAD: f64 = 2.0;
-/// Share of calls that a server fails by itself above which it is left out, if
-/// others do better: it answers sooner than sound ones, and would draw more
-/// calls the more it fails. Sound servers fail less than one in a hundred.
+/// Share of calls that a server fails by itself above which it is avoided if
+/// others do better. It answers sooner than healthy servers and would draw more
+/// calls the more it fails; healthy servers fail less than one in a hundred.
 const MAX_FAULT_SHARE: f64 = 0.25;
-/// Half-life of the faults that were heard: a server that is left out gets a
-/// call of each entry about every second, whose answer tells how it fares now.
+/// Half-life of a reported fault share. An avoided server gets a call from each
+/// entry about every second, whose answer updates the share.
 const FAULT_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Half-life of a load that was heard on an answer.
+/// Half-life of a load that was reported with an answer.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// Load from which a server counts as full: some answer slower from here on.
+/// Load from which a server counts as full; some answer slower from here on.
 const FULL_LOAD: f64 = 0.9;
 
 /// Whether calls may go to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes calls.
+    /// Accepts calls.
     Serving,
-    /// It takes no new calls and finishes those it has.
+    /// Accepts no new calls and finishes those in flight.
     Leaving,
-    /// Its data centre cannot be reached; it is not known to be gone.
+    /// Its data centre cannot be reached; the server may still be running.
     Unreachable,
 }
 
-/// One backend server: where it is, and its load as heard on answers.
+/// One backend server: its location and state, and its load as reported with
+/// answers.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The daemon that stands before it.
+    /// Daemon in front of it.
     pub instance: Instance,
     /// Its data centre.
     pub centre: CentreName,
@@ -58,7 +59,7 @@
     level: Heard,
     downstream: Heard,
     classes: RankSet,
-    /// When there is room below the rate that its server named, if it did.
+    /// When it has rate capacity again, if its server sets a rate limit.
     available_at: Option<Instant>,
     reject_share: f64,
     faults: Option<(f64, Instant)>,
@@ -66,7 +67,7 @@
 }
 
 impl Target {
-    /// Makes a target that nothing has been heard of.
+    /// Creates a target without any reported state.
     pub fn new(instance: Instance, centre: CentreName, slots: Slots) -> Self {
         Self {
             instance,
@@ -85,24 +86,24 @@
         }
     }
 
-    /// Takes over place, size and state from `news`, and keeps the load.
-    pub fn update_from(&mut self, news: Self) {
-        self.state = news.state;
-        self.slots = news.slots;
-        self.centre = news.centre;
+    /// Takes location, slots and state from `updated` and keeps the rest.
+    pub fn update_from(&mut self, updated: Self) {
+        self.state = updated.state;
+        self.slots = updated.slots;
+        self.centre = updated.centre;
     }
 
-    /// Takes note of a call sent to it.
+    /// Records a call sent to it.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Takes note that a call sent to it has ended.
+    /// Records the end of a call sent to it.
     pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes note of what a guard told with an answer.
+    /// Records the status that its guard sent with an answer.
     pub fn record_status(&mut self, now: Instant, news: GuardNews) {
         self.load = Some((news.load, now));
         self.level.hear(now, news.demand.level);
@@ -116,25 +117,25 @@
         }
     }
 
-    /// Returns how long a call waits there for the rate that its server named.
+    /// Returns how long a call waits there for the server's rate limit.
     pub fn rate_delay(&self, now: Instant) -> Duration {
         let available_at = self.available_at.unwrap_or(now);
         available_at.saturating_duration_since(now)
     }
 
-    /// Tells whether a call goes to its server without a wait for its rate.
+    /// Returns whether a call starts there without waiting for the rate limit.
     pub fn has_rate_capacity(&self, now: Instant) -> bool {
         self.rate_delay(now).is_zero()
     }
 
-    /// Takes note of whether its backend server refused a call by itself.
+    /// Records whether its backend server refused a call by itself.
     pub fn record_rejection(&mut self, rejected: bool) {
         let sample = if rejected { 1.0 } else { 0.0 };
         self.reject_share += (sample - self.reject_share) * REJECT_WEIGHT;
     }
 
-    /// Returns the share of calls that its backend server fails by itself; old
-    /// news counts less.
+    /// Returns the share of calls that its backend server fails by itself,
+    /// decayed by age.
     pub fn fault_share(&self, now: Instant) -> f64 {
         let known = self.faults.filter(|(share, _)| *share > 0.0);
         known.map_or(0.0, |(share, at)| {
@@ -143,32 +144,32 @@
         })
     }
 
-    /// Tells whether it is to be left out where another target has `least`
-    /// faults.
+    /// Returns whether it should be avoided, given the smallest fault share of
+    /// any target.
     pub fn is_faulty(&self, now: Instant, min_fault_share: f64) -> bool {
         let fault_share = self.fault_share(now);
         fault_share >= MAX_FAULT_SHARE && fault_share >= min_fault_share * 2.0
     }
 
-    /// Tells whether it was heard from just now, so that it can be taken to be
-    /// within reach.
+    /// Returns whether it sent its status recently, so that it counts as
+    /// reachable.
     pub fn has_recent_status(&self, now: Instant) -> bool {
         self.load
             .is_some_and(|(_, at)| now.saturating_duration_since(at) < REACHABLE_TIME)
     }
 
-    /// Tells whether the level that it demands was heard just now.
+    /// Returns whether its demanded level is fresh.
     pub fn has_fresh_level(&self, now: Instant) -> bool {
         self.level.is_fresh(now)
     }
 
-    /// Returns the calls of this entry in flight there.
+    /// Returns the number of this entry's calls in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns what it demands of calls, as far as known; of protected classes
-    /// only what is fresh.
+    /// Returns what it demands of calls, as last known; for protected classes
+    /// only fresh levels count.
     pub fn demand(&self, now: Instant, protected: bool) -> Demand {
         Demand {
             level: self.level.level(now, protected),
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Estimates its load as a share of its slots; old news counts less.
+    /// Estimates its load as a share of its slots; a reported load decays with
+    /// age.
     pub fn load(&self, now: Instant) -> f64 {
         let own = f64::from(self.in_flight);
         let known = self.load.map_or(0.0, |(load, at)| {
@@ -187,24 +189,24 @@
         own.max(known) / f64::from(self.slots.get()) + self.reject_share * REJECT_LOAD
     }
 
-    /// Tells whether it has as much to do as it should.
+    /// Returns whether its load counts as full.
     pub fn is_full(&self, now: Instant) -> bool {
         self.load(now) >= FULL_LOAD
     }
 
-    /// Returns how fast it answers.
+    /// Returns its latency ratio.
     pub fn latency_ratio(&self) -> &LatencyRatio {
         &self.latency_ratio
     }
 
-    /// Returns how fast it answers, to be learned.
+    /// Returns its latency ratio for an update.
     pub(super) fn latency_ratio_mut(&mut self) -> &mut LatencyRatio {
         &mut self.latency_ratio
     }
 
-    /// Returns what an answer is expected to take there, as a multiple of what
-    /// it takes in the mean of the service's idle servers: its pace over its
-    /// free share of slots, so that calls spread long before it is full.
+    /// Returns the expected time of an answer as a multiple of the mean of the
+    /// service's idle servers: its latency ratio over its free share of slots, so
+    /// that calls spread long before it is full.
     pub fn expected_latency(&self, now: Instant) -> f64 {
         let free = (1.0 - self.load(now)).max(1.0 - FULL_LOAD);
         self.latency_ratio.optimistic_ratio(now) / free
--- a/tests/limited_targets.rs
+++ b/tests/limited_targets.rs
@@ -1,9 +1,9 @@
-//! Choice between backend servers some of which take few calls a second.
+//! Choice between backend servers with rate limits of a few calls a second.
 //!
-//! The load answered here: servers in need name a rate and have no room below it
-//! most of the time. Callers need their calls to go to servers that have room, in
-//! other data centres too; where none has, to the one that has some first, unless
-//! less important work is refused there anyway.
+//! Overloaded servers set a rate limit and have no capacity within it most of the
+//! time. Calls must go to servers with capacity, in other data centres too; where
+//! none has any, to the first that will have some, unless less important calls
+//! are refused there anyway.
 
 #![allow(missing_docs)]
 
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,9 +1,8 @@
-//! Choice of a backend server while a data centre is out of reach.
+//! Choice of a backend server while a data centre is unreachable.
 //!
-//! Load pattern: a data centre is cut off without a word, so that calls into
-//! it are never answered, while the servers that are left have more to do than
-//! they can. Figures: three targets of a service, one in the own data centre,
-//! as on the users' smaller site.
+//! One data centre silently drops all traffic, so calls into it are never
+//! answered, while the remaining servers are overloaded. The service has three
+//! targets, one of them in the own data centre, as on a small site.
 
 #![allow(missing_docs)]
 
@@ -106,8 +105,8 @@
     assert!(!table.has_recent_status(now + Duration::from_secs(1), instance(2)));
 }
 
-/// One of three servers fails every call at once while its health check is
-/// good, and so always has the least load. Its data centre is the entry's own.
+/// One of three servers, the only one in the own data centre, fails every call at
+/// once while its health check passes, so it always has the least load.
 #[test]
 fn choose_avoids_a_server_that_fails_all() {
     let mut table = table();
@@ -132,7 +131,7 @@
     assert!((2..20).contains(&to_bad), "{to_bad} of 1000 calls");
 }
 
-/// All servers fail alike, so none is left out.
+/// All servers fail equally, so none is avoided.
 #[test]
 fn choose_keeps_servers_that_fail_equally() {
     let mut table = table();
@@ -149,8 +148,8 @@
     assert_eq!(chosen, Pick::Target(instance(1)));
 }
 
-/// One of three servers refuses nearly half of its calls by itself, as the
-/// users' servers do while their health check is good.
+/// One of three servers refuses nearly half of its calls by itself while its
+/// health check passes.
 #[test]
 fn choose_keeps_most_calls_from_a_refusing_server() {
     let mut table = table();
--- a/tests/route_demand.rs
+++ b/tests/route_demand.rs
@@ -1,10 +1,10 @@
-//! What an entry takes a service to demand, by news of some of its targets.
+//! Demand of a service, as an entry estimates it from some of its targets.
 //!
-//! Load pattern: a service further down is short, its guards' callers demand a
-//! high level of all work that leads there, and an estate of many VMs spreads
-//! its calls thinly: each entry sends a few calls a second to each of many
-//! targets, so that only one in five was heard from in the last 150 ms. Figures:
-//! 15 targets in the own data centre, as an entry of the users' larger site has.
+//! A downstream service is overloaded, so guards demand a high level of all calls
+//! that lead there. With many VMs each entry sends only a few calls a second to
+//! each target, and only one target in five has answered within the last 150 ms.
+//! If the others counted as open, entries would send far too many calls. The
+//! entry has 15 targets in its own data centre, as on a large site.
 
 #![allow(missing_docs)]
 
@@ -35,7 +35,7 @@
     table
 }
 
-/// The level that is demanded of work that leads to the short service.
+/// Level that is demanded of calls that lead to the overloaded service.
 fn downstream_level() -> Level {
     Level::new(ClassRank::new(2), 48_000)
 }
--- a/tests/single_calls.rs
+++ b/tests/single_calls.rs
@@ -1,10 +1,11 @@
-//! Callers' own calls to a short service beside trees of calls of their class.
+//! Single calls of callers beside call trees of the same class.
 //!
-//! Load pattern: a surge at the last service of a chain. One class holds both
-//! requests that need a single call there and trees that ask it eight times for
-//! one caller, twice as often as it can serve. Figures: 15 slots, 15 ms a read
-//! of a tree, 48 ms a single call, 25 of these a second, as on the smallest of
-//! the users' sites in its surge; a single call is of use for 150 ms.
+//! In a surge at the last service of a chain, one class holds both requests that
+//! need a single call there and call trees that need eight, at twice the rate
+//! that can be served. Single calls must not be refused as often as the trees.
+//! The service has 15 slots and takes 15 ms for a read of a tree and 48 ms for a
+//! single call, of which 25 a second arrive, as on a small site; a single call is
+//! useful for 150 ms.
 
 #![allow(missing_docs)]
 
@@ -22,7 +23,7 @@
 const SLOTS: u32 = 15;
 const READ_MS: u64 = 15;
 const SINGLE_MS: u64 = 48;
-/// Trees a second that ask for twice what can be served.
+/// Call trees per second, which need twice what can be served.
 const TREES_PER_SECOND: f64 = 250.0;
 const SINGLES_PER_SECOND: f64 = 25.0;
 const READS_PER_TREE: u32 = 8;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Returns the shares of singles and of trees that were served.
+    /// Returns the shares of single calls and of call trees that were served.
     fn run(mut self) -> (f64, f64) {
         for now in 0..RUN_MS {
             self.finish(now);
@@ -181,7 +182,7 @@
     let (plain, plain_trees) = World::new(false).run();
     let (marked, trees) = World::new(true).run();
     assert!(marked > 0.95, "{marked} of the single calls are served");
-    assert!(plain < 0.8, "{plain} without their mark");
+    assert!(plain < 0.8, "{plain} without their priority");
     // 25 singles a second take 1.2 of the 15 slots.
     assert!(
         trees > plain_trees - 0.08,
@@ -211,8 +212,8 @@
     assert!(single.level() < Level::new(ClassRank::new(1), 0));
 }
 
-/// Tells whether a table takes a class's own calls for single ones after they
-/// made others as often as `onward` says.
+/// Returns whether a table treats a class's own calls as single ones after 200 of
+/// them, where `onward` returns which of them led to further calls.
 fn learns_single_calls(onward: impl Fn(u32) -> bool) -> bool {
     let mut table = Table::new("dc-1".parse().expect("a name"));
     for call in 0..200 {
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -1,9 +1,9 @@
-//! Choice between backend servers of uneven speed.
+//! Choice between backend servers of different speed.
 //!
-//! Load pattern: a service of 30 servers uses 4 in 100 of its slots; one in
-//! four servers takes twice as long as the others, and any may turn 2.5 times
-//! slower for 600 ms. Callers give up soon after what an answer takes in the
-//! mean. Figures: 83 slots and 120 ms a call, as on one of the users' sites.
+//! A service of 30 servers uses 4 in 100 of its slots; one in four servers takes
+//! twice as long as the others, and any may slow down 2.5-fold for 600 ms.
+//! Callers give up soon after the mean time of an answer, so slow servers cost
+//! answers. Servers have 83 slots and take 120 ms per call.
 
 #![allow(missing_docs)]
 
@@ -26,7 +26,8 @@
 
 const SLOTS: u32 = 83;
 const WORK_MS: f64 = 120.0;
-/// Times of four neighbours as multiples of the mean: of speeds 0.55 and 1.2.
+/// Times of four neighbouring servers as multiples of the mean, for speeds of
+/// 0.55 and 1.2.
 const TIME_RATIOS: [f64; 4] = [1.0 / 0.55, 1.0 / 1.2, 1.0 / 1.2, 1.0 / 1.2];
 
 fn kind(depth: u8) -> CallKind {
@@ -107,7 +108,7 @@
         Self::new(entries, times_ms.collect(), by_time)
     }
 
-    /// Returns the calls a second that take a share of all slots.
+    /// Returns the calls per second that occupy a share of all slots.
     fn rate(&self, share: f64) -> f64 {
         let full = |time: &f64| f64::from(SLOTS) * 1000.0 / time;
         share * self.times_ms.iter().map(full).sum::<f64>()
@@ -117,7 +118,7 @@
         self.in_flight.iter().filter(|u| u.server == server).count() as u32
     }
 
-    /// Lets calls come for a while; what is counted starts anew.
+    /// Sends calls for a while, with the counters reset.
     fn run(&mut self, ms: f64, per_second: f64) {
         self.calls.fill(0);
         self.max_in_flight.fill(0);
@@ -199,7 +200,7 @@
     let (slow_by_load, mean_by_load) = run(false);
     assert!(slow_by_load > 0.15, "{slow_by_load} by load");
     assert!(slow < 0.08, "{slow} of the calls go to slow servers");
-    // All at fast ones would take 100 ms.
+    // With all calls at fast servers the mean is 100 ms.
     assert!(mean < 108.0, "{mean} ms, {mean_by_load} by load");
 }
 
@@ -215,7 +216,7 @@
     assert!(*most <= SLOTS, "{most} calls at one server");
 }
 
-/// Each of many entries knows little of what the others send.
+/// Each of many entries knows little about the calls of the others.
 #[test]
 fn choose_by_time_crowds_servers_less_than_by_load() {
     let most = |by_time| {
@@ -287,7 +288,7 @@
     }
 }
 
-/// Returns the pace of each target.
+/// Returns the latency ratio of each target.
 fn ratios(table: &Table, now: Instant) -> Vec<f64> {
     table
         .targets()
@@ -318,7 +319,7 @@
     }
 }
 
-/// One server fails its calls within a millisecond: no sign of speed.
+/// One server fails its calls within a millisecond, which is no sign of speed.
 #[test]
 fn record_time_ignores_fast_failures() {
     let mut table = table(4, true);
@@ -350,7 +351,7 @@
     assert!(ratios(&table, now)[0] > 1.5, "{:?}", ratios(&table, now));
 }
 
-/// A server that was slow is given calls again when its news are old.
+/// A server that was slow gets calls again once what is known of it is old.
 #[test]
 fn ratio_decays_to_the_mean() {
     let mut table = table(2, true);
@@ -367,7 +368,7 @@
     assert!(later < 1.1, "{later}, {slow} before");
 }
 
-/// Without the setting times are not looked at, and choices are as they were.
+/// Without the setting, recorded times do not affect choices.
 #[test]
 fn choose_by_load_ignores_times() {
     let (mut timed, mut plain) = (table(8, false), Table::new(centre()));
@@ -450,7 +451,8 @@
 }
 
 /// The only server of the own data centre answers in `near` ms, the one of
-/// another in `far` ms, its way included; half of the slots are in use at both.
+/// another in `far` ms, network time included; half of the slots are in use at
+/// both.
 #[rstest]
 #[case::clearly_slower(50, 25, 0.6, 1.0)]
 #[case::a_little_slower(30, 25, 0.0, 0.2)]
