--- a/src/policy/front/admitted_share.rs
+++ b/src/policy/front/admitted_share.rs
@@ -1,4 +1,4 @@
-//! Where the room of a class at a service is heading.
+//! Admitted share of a class at a service, and its trend.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 
 use crate::model::{ClassRank, Level};
 
-/// Memory of what is the case now, and of what was lately: refused callers
+/// Time constants of the current share and of the earlier one. Refused callers
 /// return within a second or two, so slower changes make no difference to them.
 const SHORT_TIME_CONSTANT: Duration = Duration::from_millis(300);
 const LONG_TIME_CONSTANT: Duration = Duration::from_millis(1500);
-/// Time after which nothing is known of before.
+/// Age after which recorded shares are discarded.
 const MAX_AGE: Duration = Duration::from_secs(5);
-/// Change of the open share that counts as one; levels swing by as much within
-/// a moment.
+/// Smallest change of the share that counts as a trend; levels fluctuate by as
+/// much within a moment.
 const MIN_TREND_CHANGE: f64 = 0.05;
 
-/// Where the room of a class is heading.
+/// Trend of the admitted share of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trend {
     /// More of the class is admitted than before.
     Grows,
-    /// About as much.
+    /// About as much is admitted.
     Steady,
-    /// Less of it.
+    /// Less is admitted.
     Shrinks,
 }
 
 impl Trend {
-    /// Returns the text that stands in logs.
+    /// Returns the text for logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Grows => "grows",
@@ -38,7 +38,7 @@
     }
 }
 
-/// The share of a class that a service admits, now and lately.
+/// Share of a class that a service admits, now and earlier.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmittedShare {
     current: f64,
@@ -57,7 +57,7 @@
 }
 
 impl AdmittedShare {
-    /// Takes note of the level that is demanded of a class.
+    /// Records the level that is demanded of a class.
     pub fn record(&mut self, now: Instant, rank: ClassRank, demanded: Level) {
         let share = share_above(rank, demanded);
         let age = self.updated_at.map(|at| now.saturating_duration_since(at));
@@ -76,7 +76,7 @@
         self.current
     }
 
-    /// Returns where that share is heading.
+    /// Returns the trend of that share.
     pub fn trend(&self) -> Trend {
         let change = self.current - self.earlier;
         if change > MIN_TREND_CHANGE {
@@ -93,7 +93,7 @@
     1.0 - (-age.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
 
-/// Returns the share of a class that stands at or above a level.
+/// Returns the share of a class that is at or above a level.
 fn share_above(rank: ClassRank, demanded: Level) -> f64 {
     let first = Level::new(rank, 0).index();
     let end = first + Level::STEPS;
--- a/src/policy/front/backoff.rs
+++ b/src/policy/front/backoff.rs
@@ -1,4 +1,4 @@
-//! When a refused caller should come back.
+//! Backoff of refused callers.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,29 +7,29 @@
 
 use super::{AdmittedShare, Trend};
 
-/// Callers stay away for a third of the time that they have left at most.
+/// Divisor of a caller's remaining time that gives its longest backoff.
 const MAX_BACKOFF_DIVISOR: u32 = 3;
-/// Least time for which a caller is sent away; levels hold for about as long.
+/// Shortest backoff; admission levels hold for about as long.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// Share of a class that is admitted below which hardly anyone is served who
-/// returns at once; an answer past its objective is then better than none.
+/// Admitted share of a class below which hardly any caller who returns at once is
+/// served; an answer after the objective is then better than none.
 const HOPELESS_SHARE: f64 = 0.125;
 
-/// A caller that is refused.
+/// A refused caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusedCaller {
-    /// The time that it has left.
+    /// Time that the caller has left.
     pub time_left: Duration,
-    /// How long it may stay away for an answer of full use.
+    /// Longest delay after which an answer can still be within the objective.
     pub slack: Duration,
 }
 
-/// Returns for how long a refused caller should stay away, spread at random; or
-/// nothing if it has no time left to return in.
+/// Returns a random delay after which a refused caller should return, or `None`
+/// if it has too little time left.
 ///
-/// While its return can be answered within the objective and has a chance, it is
-/// told to come back in time for that. Else it returns as late as it can, where
-/// room grows or stays, and sooner where room shrinks.
+/// While a return has a chance and can be answered within the objective, the
+/// delay allows for that. Otherwise it is long where the admitted share grows or
+/// is steady, and shorter where it shrinks.
 pub fn backoff<R: Rng>(
     caller: RefusedCaller,
     admitted: &AdmittedShare,
--- a/src/policy/front/mod.rs
+++ b/src/policy/front/mod.rs
@@ -1,15 +1,14 @@
-//! When refused callers return, and which trees of calls begin then.
+//! Decisions at the front of an estate: when refused callers return, which
+//! callers go first, and which call trees are refused since they cannot reach a
+//! service.
 //!
-//! Besides, trees are refused whose calls cannot reach a service.
+//! Demand fluctuates around the capacity of the last service of a chain, with
+//! surges on top. Callers repeat a refused request once or twice within their
+//! time, so their backoff decides whether they return into the same peak, in time
+//! for an answer within the objective, or too late for any.
 //!
-//! The load: demand swings around what the last service of a chain can serve,
-//! and a surge lies on it. Callers repeat a refused request once or twice within
-//! their time, so what they are told decides whether they come back into the
-//! same crest, in time for an answer of full use, or too late for any.
-//!
-//! All of this is decided by what one entry sees itself. Nothing is told to
-//! others but the root of a request, which places its whole tree in the order
-//! of admission.
+//! Each entry decides by what it observes itself. It passes on only the root id
+//! of a request, which ranks the whole call tree in the order of admission.
 
 mod admitted_share;
 mod backoff;
--- a/src/policy/front/mode.rs
+++ b/src/policy/front/mode.rs
@@ -1,4 +1,4 @@
-//! How the front of an estate decides.
+//! Modes of the front of an estate.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,22 @@
 use super::FrontOptions;
 use crate::error::Error;
 
-/// How the front of an estate treats trees of calls and refused callers.
+/// How the front of an estate treats call trees and refused callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FrontMode {
-    /// By levels alone; refused callers return after a second or so.
+    /// By admission levels alone; refused callers return after about a second.
     #[default]
     Levels,
-    /// Refused callers return when their time and the demand allow it best.
+    /// Refused callers get a backoff that fits their time and the demand.
     Backoff,
-    /// Callers who come back go before others of their class.
+    /// Returning callers go before others of their class.
     Boost,
-    /// Trees are refused whose calls cannot reach a service.
+    /// Call trees that cannot reach a service are refused.
     FailFast,
 }
 
 impl FrontMode {
-    /// Returns what is decided besides the levels.
+    /// Returns the decisions made besides admission levels.
     pub const fn options(self) -> FrontOptions {
         let none = FrontOptions::NONE;
         match self {
--- a/src/policy/front/options.rs
+++ b/src/policy/front/options.rs
@@ -1,25 +1,25 @@
-//! What the front of an estate decides besides the levels.
+//! Decisions of the front besides admission levels.
 
-/// What the front of an estate decides besides the levels.
+/// Decisions that the front makes besides admission levels.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrontOptions {
-    /// When refused callers return, by their time and the demand.
+    /// Whether refused callers get a backoff that fits their time and the demand.
     pub backoff: bool,
-    /// Callers who come back go before others of their class.
+    /// Whether returning callers go before others of their class.
     pub boost: bool,
-    /// Trees are refused whose calls cannot reach a service.
+    /// Whether call trees that cannot reach a service are refused.
     pub fail_fast: bool,
 }
 
 impl FrontOptions {
-    /// Decides nothing besides the levels.
+    /// Admission levels alone.
     pub const NONE: Self = Self {
         backoff: false,
         boost: false,
         fail_fast: false,
     };
 
-    /// Tells whether the time that callers have matters.
+    /// Returns whether the time that callers have left is used.
     pub const fn uses_time(self) -> bool {
         self.backoff || self.boost
     }
--- a/src/policy/front/retry_detector.rs
+++ b/src/policy/front/retry_detector.rs
@@ -1,34 +1,34 @@
-//! Which callers come back after an earlier attempt.
+//! Detection of callers who return after an earlier attempt.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Times that differ by less than this share count as one.
+/// Relative difference below which times count as the same.
 const LOG_STEP: f64 = 0.01;
-/// Steps below the initial time from which on a request counts as a retry. A
+/// Steps below the initial time from which on a request counts as a retry; a
 /// caller who retries sooner has hardly waited.
 const MIN_STEP_GAP: u32 = 5;
-/// Requests without which no time stands out.
+/// Fewest requests by which an initial time can be determined.
 const MIN_REQUESTS: f64 = 16.0;
-/// Least share of requests that are first attempts. Callers retry once or
+/// Smallest share of requests that are first attempts. Callers retry once or
 /// twice, so a third of all requests is new.
 const MIN_FIRST_SHARE: f64 = 0.25;
-/// Share of requests at one shorter time from which on it belongs to callers of
-/// another kind; times of retries are spread.
+/// Share of requests at one shorter time from which on it belongs to another kind
+/// of callers; the times of retries are spread.
 const OTHER_KIND_SHARE: f64 = 0.125;
-/// Time in which past requests lose half of their weight.
+/// Half-life of the weight of past requests.
 const HALF_LIFE: Duration = Duration::from_secs(5);
-/// Half-lives after which nothing is left of past requests.
+/// Half-lives after which all past requests are discarded.
 const MAX_HALF_LIVES: u32 = 10;
-/// Weight below which a time is forgotten.
+/// Weight below which a time is removed.
 const MIN_WEIGHT: f64 = 0.1;
 
 /// Detects retries of callers by the time that they have left.
 ///
-/// Most callers of a route begin with the same time, and a retry has less of it.
-/// Where callers' times differ from the start no retry is detected.
+/// Most callers of a route start with the same time, and a retry has less of it.
+/// Where callers start with different times, no retry is detected.
 #[derive(Debug)]
 pub struct RetryDetector {
     weights: BTreeMap<u32, f64>,
@@ -37,7 +37,7 @@
 }
 
 impl RetryDetector {
-    /// Makes a detector that has seen nothing.
+    /// Creates a detector without any requests.
     pub fn new(now: Instant) -> Self {
         Self {
             weights: BTreeMap::new(),
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes note of a request whose caller has so much time left, and returns
-    /// how long the caller has waited if it is a retry.
+    /// Records a request of a caller with `time_left`, and returns how long the
+    /// caller has waited if it is a retry.
     pub fn observe(&mut self, now: Instant, time_left: Duration) -> Option<Duration> {
         self.decay(now);
         let step = step(time_left);
@@ -59,7 +59,7 @@
         (is_less && !is_other).then(|| step_time(initial_step).saturating_sub(time_left))
     }
 
-    /// Returns the time that first attempts have, if one stands out.
+    /// Returns the step of the time that first attempts have, if one stands out.
     fn initial_step(&self) -> Option<u32> {
         let (step, _) = self
             .weights
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -1,10 +1,10 @@
-//! Which trees of calls begin, and when refused callers return.
+//! Call trees that start at the front, and the return of refused callers.
 //!
-//! Load pattern: trees of eight calls, one after the other, all to one short
-//! service that can serve half of them; a third are of a more urgent class. Each
-//! caller repeats a refused or failed request once. Figures: 15 slots, 15 ms a
-//! call, so 125 trees a second; callers wait five seconds, an answer has its full
-//! use within 1.5 s, an attempt takes 0.8 s at most.
+//! Call trees of eight sequential calls go to one service that can serve half of
+//! them; a third are of a more urgent class. Each caller repeats a refused or
+//! failed request once. With 15 slots and 15 ms per call the service can serve
+//! 125 trees a second. Callers wait five seconds, the objective of an answer is
+//! 1.5 s, and an attempt takes 0.8 s at most.
 
 #![allow(missing_docs)]
 
@@ -37,15 +37,15 @@
     2.0
 }
 
-/// Swings by 55 in 100 around the capacity within 15 seconds.
+/// Varies by 55 in 100 around the capacity, with a period of 15 seconds.
 fn wave(now: u64) -> f64 {
     let turn = now as f64 / 15_000.0 * std::f64::consts::TAU;
     1.0 + 0.55 * turn.sin()
 }
 
-/// Nobody more is served in a surge that outlasts callers' time, so the aim is
-/// who: those who have waited at least twice as often as new ones, of whom some
-/// are still served.
+/// A surge that outlasts callers' time leaves no capacity for more of them, so
+/// what counts is who is served: returning callers at least twice as often as new
+/// ones, some of whom are still served.
 #[tokio::test(start_paused = true)]
 async fn boosted_root_serves_returning_callers() {
     let [urgent_before, before] = World::new(LEVELS, surge).run();
@@ -114,7 +114,7 @@
     );
 }
 
-/// Lets callers of a route arrive, and tells whether the last one has waited.
+/// Records requests of a route, and returns whether the last one is a retry.
 fn is_retry(times_left: impl IntoIterator<Item = u64>) -> bool {
     let now = Instant::now();
     let mut detector = RetryDetector::new(now);
@@ -146,7 +146,7 @@
     assert!(!is_retry(spread.chain([1500])));
 }
 
-/// Callers who have little time from the start have not waited.
+/// Callers who have little time from the start are not retrying.
 #[test]
 fn observe_two_kinds_of_callers() {
     let kinds = (0..200).map(|n| if n % 4 == 0 { 3000 } else { 5000 });
@@ -191,7 +191,7 @@
     assert!((share - expected).abs() < 0.05, "{share}");
 }
 
-/// Returns an outlook after the open share of a class went from one to another
+/// Returns the admitted share of a class after it went from one value to another
 /// in two seconds.
 fn admitted(from: f64, to: f64) -> AdmittedShare {
     let rank = ClassRank::new(RANK);
@@ -215,12 +215,15 @@
     assert_eq!(admitted(from, to).trend(), trend);
 }
 
-/// Returns the mean of what callers are told, in milliseconds.
+/// Returns the mean backoff in milliseconds.
 fn mean_backoff(refused: RefusedCaller, admitted: &AdmittedShare) -> f64 {
     let mut rng = StdRng::seed_from_u64(3);
     let backoffs = (0..500).map(|_| {
         let time = backoff(refused, admitted, &mut rng).expect("there is time");
-        assert!(time <= refused.time_left / 3, "callers stay away no longer");
+        assert!(
+            time <= refused.time_left / 3,
+            "at most a third of the time left"
+        );
         time.as_secs_f64() * 1000.0
     });
     backoffs.sum::<f64>() / 500.0
@@ -286,7 +289,7 @@
     }
 }
 
-/// Returns a table of so many servers.
+/// Returns a table with this many servers.
 fn table(servers: u16) -> Table {
     let centre: CentreName = "dc-1".parse().expect("a name");
     let mut table = Table::new(centre.clone());
@@ -312,7 +315,7 @@
     );
 }
 
-/// Returns a chain that heard of a call which did not reach its service.
+/// Returns a chain that has recorded a call which did not reach its service.
 fn chain_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> Chain {
     let mut chain = Chain::default();
     let met = Met {
@@ -325,19 +328,19 @@
     chain
 }
 
-/// A data centre that is cut off from the last service of a chain begins trees
-/// that all fail. The service above learns it from the first; within a second of
-/// the last that failed, trees are let through again.
+/// A data centre that cannot reach the last service of a chain starts call trees
+/// that all fail. The service above learns this from the first failure; within a
+/// second of the last one, trees are let through again.
 #[test]
 fn unreachable_demand_refuses_trees_until_it_ages() {
     let now = Instant::now();
     let rank = ClassRank::new(RANK);
     let tree = Priority::new(rank, Depth::default(), RootId::new(7)).level();
     let before = chain_after(now, rank, Demand::default(), false);
-    assert!(tree >= before.level(now, rank, false), "else they begin");
+    assert!(tree >= before.level(now, rank, false), "admitted before");
     let chain = chain_after(now, rank, UNREACHABLE_DEMAND, true);
     assert!(tree < chain.level(now, rank, false), "refused at once");
-    assert!(chain.highest(now).1.contains(rank), "told upwards");
+    assert!(chain.highest(now).1.contains(rank), "sent up the chain");
     let later = now + Duration::from_secs(1);
     assert!(tree >= chain.level(later, rank, false), "tried again");
     let other = ClassRank::new(RANK + 1);
--- a/tests/front/world.rs
+++ b/tests/front/world.rs
@@ -1,4 +1,5 @@
-//! One short service, the callers of its trees, and an entry before it.
+//! Simulation of an overloaded service, the callers of its call trees, and an
+//! entry in front of it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,14 +22,14 @@
 const ATTEMPT_MS: u64 = 800;
 const OBJECTIVE_MS: u64 = 1500;
 const RUN_MS: u64 = 20_000;
-/// Time in which news of the level reach the front.
+/// Interval at which the front learns the level.
 const STATUS_MS: u64 = 50;
-/// Share of the callers that are of the urgent class.
+/// Share of the callers in the urgent class.
 const URGENT_SHARE: f64 = 0.33;
-/// Trees a second that take all that can be served.
+/// Call trees per second at full capacity.
 pub(crate) const TREES_PER_SECOND: f64 = 125.0;
 
-/// What became of the callers of one class.
+/// Outcomes of the callers of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     arrivals: u32,
@@ -49,7 +50,7 @@
         share(self.in_time, self.arrivals)
     }
 
-    /// Returns the share of those who came back that were served.
+    /// Returns the share of the returning callers that were served.
     pub(crate) fn served_again(&self) -> f64 {
         share(self.served_again, self.returned)
     }
@@ -97,7 +98,7 @@
 }
 
 impl World {
-    /// Makes a world with so many callers a second, as a share of capacity.
+    /// Creates a simulation with a demand over time, as a share of capacity.
     pub(crate) fn new(options: FrontOptions, demand: fn(u64) -> f64) -> Self {
         let start = Instant::now();
         let settings = Settings {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Lets the entry forget all at a time.
+    /// Restarts the entry at a time, so that it loses its state.
     pub(crate) fn restarted(self, at_ms: u64) -> Self {
         Self {
             restart: Some(at_ms),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Returns what became of the urgent callers and of the others.
+    /// Returns the outcomes of the urgent callers and of the others.
     pub(crate) fn run(mut self) -> [Tally; 2] {
         for now in 0..RUN_MS {
             if self.restart == Some(now) {
