--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -5,11 +5,11 @@
 use super::again::MAX_DETOURS;
 use super::forward::Forward;
 use crate::call::{Attempt, Planned, Reason, Refusal};
-use crate::guard::held;
+use crate::guard::refuse_quarantined;
 use crate::model::Instance;
 use crate::policy::admission::Shed;
-use crate::policy::crash::{Standing, Suspect};
-use crate::policy::once::{Place, Refuse};
+use crate::policy::crash::{RunRestriction, Suspect};
+use crate::policy::once::{Destination, OnceRefusal};
 use crate::policy::route::{CallNeeds, Pick, Table};
 
 impl Forward<'_> {
@@ -22,16 +22,18 @@
         if Instant::now() >= head.deadline {
             return Err(attempt.refuse(Reason::Shed(Shed::Deadline), ""));
         }
-        if let Some(Standing::Held(left)) = self.standing() {
-            return Err(held(attempt, left));
+        if let Some(RunRestriction::Quarantined(left)) = self.standing() {
+            return Err(refuse_quarantined(attempt, left));
         }
         if let Some(once) = &head.once {
             // No other instance may start it.
             self.waits = true;
             return match self.place(&once.key) {
-                Place::At(instance) if self.may_reach(instance) => Ok((attempt, instance)),
-                Place::At(_) => Err(attempt.refuse_once(Refuse::OwnerUnreachable)),
-                Place::Refused(refuse) => Err(attempt.refuse_once(refuse)),
+                Destination::Instance(instance) if self.may_reach(instance) => {
+                    Ok((attempt, instance))
+                }
+                Destination::Instance(_) => Err(attempt.refuse_once(OnceRefusal::OwnerUnreachable)),
+                Destination::Refused(refuse) => Err(attempt.refuse_once(refuse)),
             };
         }
         let want = self.want();
@@ -86,7 +88,7 @@
     }
 
     /// Returns what may be done with the request by what is known of crashes.
-    fn standing(&self) -> Option<Standing> {
+    fn standing(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
         Some(self.context.shared.suspects.standing(request))
     }
--- a/src/policy/admission/told.rs
+++ b/src/policy/admission/report.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{Admission, Load};
+use super::{Admission, GuardLoad};
 use crate::model::{Demand, GuardNews};
 
 /// Mean of the spread of `Retry-After` at no excess.
@@ -20,16 +20,16 @@
     }
 
     /// Returns the load, and counts of calls since the last report.
-    pub fn report(&mut self, now: Instant) -> Load {
-        let (below, _) = self.chain.highest(now);
-        Load {
+    pub fn report(&mut self, now: Instant) -> GuardLoad {
+        let (downstream, _) = self.downstream.highest(now);
+        GuardLoad {
             running: self.running.len(),
             waiting: self.queue.len(),
             limit: self.limit.get(),
-            started: std::mem::take(&mut self.started),
-            shed: std::mem::take(&mut self.shed),
+            started: std::mem::take(&mut self.start_count),
+            shed: std::mem::take(&mut self.shed_count),
             level: self.threshold.level(),
-            below,
+            downstream,
             latency: self.limit.latency().unwrap_or_default(),
             rate: self.throttle.rate(),
         }
@@ -51,8 +51,8 @@
     }
 
     /// Returns what answers carry of this guard.
-    pub fn news(&self, now: Instant) -> GuardNews {
-        let (below, classes) = self.chain.highest(now);
+    pub fn status(&self, now: Instant) -> GuardNews {
+        let (below, classes) = self.downstream.highest(now);
         let load = self.running.len() + self.queue.len();
         GuardNews {
             demand: Demand {
@@ -61,10 +61,10 @@
                 classes,
             },
             load: u32::try_from(load).unwrap_or(u32::MAX),
-            faults: self.faults.share(),
+            faults: self.fault_rate.share(),
             leaving: self.leaving,
             told: None,
-            room: self.room(now),
+            room: self.rate_delay(now),
         }
     }
 
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -10,7 +10,7 @@
 use super::pick::{CallNeeds, PickInput, demand, pick};
 use super::{CallKind, CallTime, Ejector, Pick, Target, TargetState};
 use crate::model::{CentreName, ClassRank, Demand, GuardNews, Instance};
-use crate::policy::admission::Shares;
+use crate::policy::admission::ClassShares;
 use crate::policy::retry::RetryBudget;
 
 /// Outcome of an attempt at a target.
@@ -38,7 +38,7 @@
     ejector: Ejector,
     retry_budget: RetryBudget,
     /// How often the callers' own calls of each class lead to further calls.
-    onward_shares: Shares,
+    onward_shares: ClassShares,
     /// Mean time of each kind of call, if targets are compared by latency.
     kind_means: Option<KindMeans>,
 }
@@ -59,7 +59,7 @@
             positions: HashMap::new(),
             ejector: Ejector::default(),
             retry_budget: RetryBudget::default(),
-            onward_shares: Shares::default(),
+            onward_shares: ClassShares::default(),
             kind_means: None,
         }
     }
@@ -219,12 +219,12 @@
         };
         target.record_end();
         match report {
-            AttemptReport::Responded(news) => {
-                target.record_status(now, news);
+            AttemptReport::Responded(status) => {
+                target.record_status(now, status);
                 target.record_rejection(false);
             }
-            AttemptReport::Rejected(news) => {
-                target.record_status(now, news);
+            AttemptReport::Rejected(status) => {
+                target.record_status(now, status);
                 target.record_rejection(true);
             }
             AttemptReport::Failed | AttemptReport::Unreachable | AttemptReport::Abandoned => {}
--- a/src/policy/route/target.rs
+++ b/src/policy/route/target.rs
@@ -6,7 +6,7 @@
 
 use super::LatencyRatio;
 use crate::model::{CentreName, Demand, GuardNews, Instance, RankSet, Slots};
-use crate::policy::admission::Heard;
+use crate::policy::admission::LastLevel;
 
 /// Time after a status in which a guard counts as reachable. Even an idle guard
 /// in a busy estate sends its status a few times in this period.
@@ -56,8 +56,8 @@
     pub slots: Slots,
     in_flight: u32,
     load: Option<(u32, Instant)>,
-    level: Heard,
-    downstream: Heard,
+    level: LastLevel,
+    downstream: LastLevel,
     classes: RankSet,
     /// When it has rate capacity again, if its server sets a rate limit.
     available_at: Option<Instant>,
@@ -76,8 +76,8 @@
             slots,
             in_flight: 0,
             load: None,
-            level: Heard::default(),
-            downstream: Heard::default(),
+            level: LastLevel::default(),
+            downstream: LastLevel::default(),
             classes: RankSet::default(),
             available_at: None,
             reject_share: 0.0,
@@ -104,15 +104,15 @@
     }
 
     /// Records the status that its guard sent with an answer.
-    pub fn record_status(&mut self, now: Instant, news: GuardNews) {
-        self.load = Some((news.load, now));
-        self.level.hear(now, news.demand.level);
-        self.downstream.hear(now, news.demand.below);
-        self.classes = news.demand.classes;
-        self.faults = Some((news.faults.share(), now));
-        let rate = news.told.and_then(|told| told.rate);
-        self.available_at = rate.map(|_| now + news.room);
-        if news.leaving {
+    pub fn record_status(&mut self, now: Instant, status: GuardNews) {
+        self.load = Some((status.load, now));
+        self.level.record(now, status.demand.level);
+        self.downstream.record(now, status.demand.below);
+        self.classes = status.demand.classes;
+        self.faults = Some((status.faults.share(), now));
+        let rate = status.told.and_then(|told| told.rate);
+        self.available_at = rate.map(|_| now + status.room);
+        if status.leaving {
             self.state = TargetState::Leaving;
         }
     }
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -16,7 +16,7 @@
 use bramleymount::model::{
     CentreName, ClassRank, Demand, Depth, Instance, Level, Priority, RootId, Slots, StartStamp,
 };
-use bramleymount::policy::admission::{Chain, Met};
+use bramleymount::policy::admission::{DownstreamLevels, OnwardOutcome};
 use bramleymount::policy::front::{
     AdmittedShare, FrontMode, FrontOptions, RefusedCaller, RetryDetector, Trend,
     UNREACHABLE_DEMAND, backoff, boosted_root, is_unreachable,
@@ -315,17 +315,17 @@
     );
 }
 
-/// Returns a chain that has recorded a call which did not reach its service.
-fn chain_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> Chain {
-    let mut chain = Chain::default();
-    let met = Met {
+/// Returns downstream levels after a call that did not reach its service.
+fn levels_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> DownstreamLevels {
+    let mut levels = DownstreamLevels::default();
+    let outcome = OnwardOutcome {
         service: "last".parse().expect("a name"),
         demand,
         refused,
         failed: true,
     };
-    chain.hear(now, rank, &[met], false);
-    chain
+    levels.record(now, rank, &[outcome], false);
+    levels
 }
 
 /// A data centre that cannot reach the last service of a chain starts call trees
@@ -336,16 +336,16 @@
     let now = Instant::now();
     let rank = ClassRank::new(RANK);
     let tree = Priority::new(rank, Depth::default(), RootId::new(7)).level();
-    let before = chain_after(now, rank, Demand::default(), false);
+    let before = levels_after(now, rank, Demand::default(), false);
     assert!(tree >= before.level(now, rank, false), "admitted before");
-    let chain = chain_after(now, rank, UNREACHABLE_DEMAND, true);
-    assert!(tree < chain.level(now, rank, false), "refused at once");
-    assert!(chain.highest(now).1.contains(rank), "sent up the chain");
+    let levels = levels_after(now, rank, UNREACHABLE_DEMAND, true);
+    assert!(tree < levels.level(now, rank, false), "refused at once");
+    assert!(levels.highest(now).1.contains(rank), "sent up the chain");
     let later = now + Duration::from_secs(1);
-    assert!(tree >= chain.level(later, rank, false), "tried again");
+    assert!(tree >= levels.level(later, rank, false), "tried again");
     let other = ClassRank::new(RANK + 1);
     assert_eq!(
-        chain.level(now, other, false),
+        levels.level(now, other, false),
         Level::OPEN,
         "does not call it"
     );
--- a/tests/front/world.rs
+++ b/tests/front/world.rs
@@ -6,7 +6,7 @@
 
 use bramleymount::model::{ClassRank, Depth, Level, Priority, RootId, Slots};
 use bramleymount::policy::admission::{
-    Admission, Decision, Event, Outcome, Settings, Token, Waiting,
+    Admission, CallToken, Decision, Event, Outcome, QueuedCall, Settings,
 };
 use bramleymount::policy::front::{
     AdmittedShare, FrontOptions, RefusedCaller, RetryDetector, backoff, boosted_root,
@@ -90,8 +90,8 @@
     level: Level,
     detector: RetryDetector,
     admitted: AdmittedShare,
-    calls: HashMap<Token, Tree>,
-    running: Vec<(u64, Token)>,
+    calls: HashMap<CallToken, Tree>,
+    running: Vec<(u64, CallToken)>,
     returns: Vec<(u64, Caller)>,
     next_token: u64,
     tallies: [Tally; 2],
@@ -144,7 +144,7 @@
             let events = self.admission.expire(self.at(now));
             self.apply(now, events);
             if now % STATUS_MS == 0 {
-                self.level = self.admission.news(self.at(now)).demand.level;
+                self.level = self.admission.status(self.at(now)).demand.level;
             }
             let expected = (self.demand)(now) * TREES_PER_SECOND / 1000.0;
             if self.rng.random_bool(expected.min(1.0)) {
@@ -228,16 +228,16 @@
             return self.fail(now, tree);
         }
         self.next_token += 1;
-        let token = Token(self.next_token);
+        let token = CallToken(self.next_token);
         self.calls.insert(token, tree);
         let deadline = self.at(tree.deadline_ms);
-        let call = Waiting {
+        let call = QueuedCall {
             token,
             priority,
             workspace: None,
             deadline,
             expires: deadline,
-            waits: true,
+            may_wait: true,
         };
         let (decision, events) = self.admission.arrive(self.at(now), call);
         match decision {
@@ -257,7 +257,7 @@
         }
     }
 
-    fn shed(&mut self, now: u64, token: Token) {
+    fn shed(&mut self, now: u64, token: CallToken) {
         if let Some(tree) = self.calls.remove(&token) {
             self.fail(now, tree);
         }
@@ -280,7 +280,7 @@
         let all = std::mem::take(&mut self.running);
         let (ended, running) = all.into_iter().partition(|(end, _)| *end <= now);
         self.running = running;
-        let ended: Vec<(u64, Token)> = ended;
+        let ended: Vec<(u64, CallToken)> = ended;
         for (_, token) in ended {
             let events = self
                 .admission
--- a/tests/limited_targets.rs
+++ b/tests/limited_targets.rs
@@ -44,7 +44,7 @@
 }
 
 fn report_rate(table: &mut Table, now: Instant, n: u16, delay_ms: u64, level: Level) {
-    let news = GuardNews {
+    let status = GuardNews {
         demand: Demand {
             level,
             ..Demand::default()
@@ -58,7 +58,7 @@
         ..GuardNews::default()
     };
     table.record_sent(instance(n));
-    table.report(now, instance(n), AttemptReport::Responded(news));
+    table.report(now, instance(n), AttemptReport::Responded(status));
 }
 
 #[test]
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -120,12 +120,12 @@
             panic!("no target");
         };
         let bad = target == instance(1);
-        let news = GuardNews {
+        let status = GuardNews {
             faults: Percent::new(if bad { 100 } else { 0 }),
             load: if bad { 0 } else { 26 },
             ..GuardNews::default()
         };
-        table.report(now, target, AttemptReport::Responded(news));
+        table.report(now, target, AttemptReport::Responded(status));
         to_bad += u32::from(bad);
     }
     assert!((2..20).contains(&to_bad), "{to_bad} of 1000 calls");
@@ -138,11 +138,11 @@
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
     for n in 1..=3 {
-        let news = GuardNews {
+        let status = GuardNews {
             faults: Percent::new(55),
             ..GuardNews::default()
         };
-        table.report(now, instance(n), AttemptReport::Responded(news));
+        table.report(now, instance(n), AttemptReport::Responded(status));
     }
     let chosen = table.choose(now, needs(Level::OPEN), &mut rng);
     assert_eq!(chosen, Pick::Target(instance(1)));
@@ -161,11 +161,11 @@
             panic!("no target");
         };
         let bad = target == instance(2);
-        let news = GuardNews::default();
+        let status = GuardNews::default();
         let report = if bad && turn % 2 == 0 {
-            AttemptReport::Rejected(news)
+            AttemptReport::Rejected(status)
         } else {
-            AttemptReport::Responded(news)
+            AttemptReport::Responded(status)
         };
         table.report(now, target, report);
         to_bad += u32::from(bad && turn >= 300);
--- a/tests/route_demand.rs
+++ b/tests/route_demand.rs
@@ -43,7 +43,7 @@
 fn report_level(table: &mut Table, now: Instant, n: u16, below: Level) {
     let mut classes = RankSet::default();
     classes.set(ClassRank::new(2), true);
-    let news = GuardNews {
+    let status = GuardNews {
         demand: Demand {
             level: Level::OPEN,
             below,
@@ -52,7 +52,7 @@
         ..GuardNews::default()
     };
     table.record_sent(instance(n));
-    table.report(now, instance(n), AttemptReport::Responded(news));
+    table.report(now, instance(n), AttemptReport::Responded(status));
 }
 
 #[rstest]
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -164,13 +164,13 @@
             .in_flight
             .pop_if(|in_flight| in_flight.end_ms <= self.now_ms)
         {
-            let news = GuardNews {
+            let status = GuardNews {
                 load: self.load(in_flight.server),
                 ..GuardNews::default()
             };
             let (now, at) = (self.at(in_flight.end_ms), instance(in_flight.server));
             let table = &mut self.entries[in_flight.entry];
-            table.report(now, at, AttemptReport::Responded(news));
+            table.report(now, at, AttemptReport::Responded(status));
             table.record_time(now, at, kind(2), CallTime::Answered(in_flight.time));
         }
     }
@@ -382,13 +382,13 @@
         let Pick::Target(at) = picked else {
             panic!("no target");
         };
-        let news = GuardNews {
+        let status = GuardNews {
             load: turn % 40,
             faults: Percent::new(0),
             ..GuardNews::default()
         };
-        timed.report(now, at, AttemptReport::Responded(news));
-        plain.report(now, at, AttemptReport::Responded(news));
+        timed.report(now, at, AttemptReport::Responded(status));
+        plain.report(now, at, AttemptReport::Responded(status));
         let time = Duration::from_millis(u64::from(at.address.port()) * 50);
         timed.record_time(now, at, kind(2), CallTime::Answered(time));
     }
@@ -478,11 +478,11 @@
         let Pick::Target(at) = table.choose(now, NEEDS, &mut rng) else {
             panic!("no target");
         };
-        let news = GuardNews {
+        let status = GuardNews {
             load: SLOTS / 2,
             ..GuardNews::default()
         };
-        table.report(now, at, AttemptReport::Responded(news));
+        table.report(now, at, AttemptReport::Responded(status));
         let server = usize::from(at.address.port());
         let time = Duration::from_millis([near, far][server]);
         table.record_time(now, at, kind(2), CallTime::Answered(time));
