--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -154,8 +154,8 @@
     /// `None` if one has capacity now or none is serving.
     pub fn rate_delay(&self, now: Instant) -> Option<Duration> {
         let serving = self.targets().filter(|t| t.state == TargetState::Serving);
-        let min_fault_share = serving.map(|target| target.rate_delay(now)).min();
-        min_fault_share.filter(|wait| !wait.is_zero())
+        let shortest = serving.map(|target| target.rate_delay(now)).min();
+        shortest.filter(|wait| !wait.is_zero())
     }
 
     /// Returns the smallest fault share of any serving target.
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn backoff_exceeds_the_objective_where_few_are_admitted() {
+fn backoff_exceeds_the_slack_where_few_are_admitted() {
     let hopeless = mean_backoff(refused(5000, 700), &admitted(0.02, 0.02));
     assert!(hopeless > 700.0, "{hopeless}");
 }
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -182,7 +182,7 @@
     let mut split = Split::new(weights, offset);
     let mut counts = vec![0_u32; weights.len()];
     for _ in 0..200 {
-        counts[split.next(weights).expect("a place")] += 1;
+        counts[split.next(weights).expect("an index")] += 1;
     }
     let sum: u32 = weights.iter().sum();
     for (count, weight) in counts.iter().zip(weights) {
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -311,8 +311,8 @@
             _ => turn % 3 == 0,
         };
         let (kind, ms) = if is_long { (long, 200) } else { (short, 20) };
-        let took = CallTime::Answered(Duration::from_millis(ms));
-        table.record_time(now, instance(at), kind, took);
+        let call_time = CallTime::Answered(Duration::from_millis(ms));
+        table.record_time(now, instance(at), kind, call_time);
     }
     for ratio in ratios(&table, now) {
         assert!((0.8..1.25).contains(&ratio), "{:?}", ratios(&table, now));
@@ -326,11 +326,11 @@
     let mut now = Instant::now();
     for turn in 0..400_usize {
         now += Duration::from_millis(5);
-        let took = match turn % 4 {
+        let call_time = match turn % 4 {
             0 => CallTime::Unanswered(Duration::from_millis(1)),
             _ => CallTime::Answered(Duration::from_millis(100)),
         };
-        table.record_time(now, instance(turn % 4), kind(2), took);
+        table.record_time(now, instance(turn % 4), kind(2), call_time);
     }
     assert!(ratios(&table, now)[0] >= 1.0, "{:?}", ratios(&table, now));
 }
@@ -342,11 +342,11 @@
     let mut now = Instant::now();
     for turn in 0..400_usize {
         now += Duration::from_millis(5);
-        let took = match turn % 4 {
+        let call_time = match turn % 4 {
             0 => CallTime::Unanswered(Duration::from_millis(180)),
             _ => CallTime::Answered(Duration::from_millis(100)),
         };
-        table.record_time(now, instance(turn % 4), kind(2), took);
+        table.record_time(now, instance(turn % 4), kind(2), call_time);
     }
     assert!(ratios(&table, now)[0] > 1.5, "{:?}", ratios(&table, now));
 }
@@ -359,8 +359,8 @@
     for turn in 0..200_usize {
         now += Duration::from_millis(50);
         let ms = if turn % 2 == 0 { 200 } else { 100 };
-        let took = CallTime::Answered(Duration::from_millis(ms));
-        table.record_time(now, instance(turn % 2), kind(2), took);
+        let call_time = CallTime::Answered(Duration::from_millis(ms));
+        table.record_time(now, instance(turn % 2), kind(2), call_time);
     }
     let slow = ratios(&table, now)[0];
     let later = ratios(&table, now + Duration::from_secs(30))[0];
