--- a/src/policy/once/claim.rs
+++ b/src/policy/once/claim.rs
@@ -1,36 +1,36 @@
-//! Claims of keys that carry no mint time.
+//! Claims on keys that carry no mint time.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::model::{Instance, OnceKey, ServiceName};
 
-/// Tells one try to claim a key from all others.
+/// Identifies one attempt to claim a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Nonce(pub u64);
 
-/// The content of a claim row: the only instance that may start the key.
+/// The content of a claim row, which names the owner of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who may start the key.
+    /// The only instance that may start the key.
     pub owner: Instance,
-    /// The try that wrote the row.
+    /// The attempt that wrote the row.
     pub nonce: Nonce,
 }
 
-/// What a claim row says to an instance that tried to write it.
+/// The result of a claim attempt, by the row that was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimCheck {
-    /// This try wrote it; the call has never been started.
+    /// This attempt wrote the row; the call has never been started.
     Won,
-    /// An earlier try of the same instance wrote it; the ledger knows more.
+    /// An earlier attempt of the same instance wrote it; the ledger has the state.
     OwnEarlier,
     /// Another instance owns the key.
     Other(Instance),
 }
 
-/// Returns the name of the row that claims `key` at `service`.
+/// Returns the key of the claim row for `key` at `service`.
 pub fn claim_row_key(service: &ServiceName, key: &OnceKey) -> String {
     format!(
         "claim/{service}/{:032x}",
@@ -38,7 +38,7 @@
     )
 }
 
-/// Reads what a claim row that is present says to `own`.
+/// Compares a claim row that was found with the attempt of `own`.
 pub fn check_claim(found: Claim, own: Instance, nonce: Nonce) -> ClaimCheck {
     if found.owner != own {
         ClaimCheck::Other(found.owner)
--- a/src/policy/once/destination.rs
+++ b/src/policy/once/destination.rs
@@ -1,4 +1,4 @@
-//! Where a once call must go, and whether an instance may start it.
+//! Routing of once calls to the owner of their key.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,16 +6,16 @@
 use crate::model::{Instance, OnceKey, ServiceName};
 use crate::policy::member::{MemberState, View};
 
-/// Where a once call must go.
+/// Where a once call is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// To this instance and no other.
+    /// Only to this instance.
     Instance(Instance),
-    /// Nowhere.
+    /// To no instance, for this reason.
     Refused(OnceRefusal),
 }
 
-/// Finds the instance that may start a key.
+/// Finds the instance that owns a key or, for an opaque key, that should claim it.
 pub fn destination(
     key: &OnceKey,
     row: Option<&OwnershipRow>,
@@ -23,21 +23,21 @@
     service: &ServiceName,
 ) -> Destination {
     match key {
-        OnceKey::Ticket { instance, .. } => known(view, *instance),
+        OnceKey::Ticket { instance, .. } => unless_lost(view, *instance),
         OnceKey::Dated(_) => match owner(key, row) {
-            Ok(owner) => known(view, owner),
+            Ok(owner) => unless_lost(view, owner),
             Err(refuse) => Destination::Refused(refuse),
         },
         OnceKey::Opaque(_) => candidate(key, view, service),
     }
 }
 
-/// Checks that `own` is the instance that may start a key, so far as the key
-/// and the home row tell; an opaque key must be claimed besides.
+/// Checks that `own` owns a key, by the key and the ownership row. An opaque key
+/// must also be claimed.
 ///
 /// # Errors
 ///
-/// Returns why it may not.
+/// Returns the refusal if another instance owns the key or none does.
 pub fn check_owner(
     key: &OnceKey,
     own: Instance,
@@ -64,8 +64,8 @@
     }
 }
 
-/// Checks that an owner is not known to be gone.
-fn known(view: &View, owner: Instance) -> Destination {
+/// Returns the owner as the destination, unless the view shows that it is gone.
+fn unless_lost(view: &View, owner: Instance) -> Destination {
     match view.at(owner.address) {
         Some(member) if member.instance.start > owner.start => {
             Destination::Refused(OnceRefusal::OwnerLost)
@@ -77,8 +77,8 @@
     }
 }
 
-/// Chooses the instance that tries to claim an opaque key: the same for all
-/// entries with the same view, so that repeats meet in one ledger.
+/// Chooses the instance that claims an opaque key. All entries with the same
+/// view choose the same one, so that repeated calls reach the same ledger.
 fn candidate(key: &OnceKey, view: &View, service: &ServiceName) -> Destination {
     let hash = key.hash();
     let weight = |instance: &Instance| xxh3_64(format!("{hash:x}{instance}").as_bytes());
--- a/src/policy/once/interval.rs
+++ b/src/policy/once/interval.rs
@@ -1,30 +1,30 @@
-//! Mint times that belong to one instance.
+//! Intervals of mint times owned by one instance.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Instance, MintTime};
 
-/// The mint times from `from` up to but not including `until`, in
-/// milliseconds, whose keys only `owner` may start.
+/// The mint times from `from` to before `until`, whose keys only `owner` may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// The only instance that may start keys of this interval.
+    /// The owner of the keys minted in this interval.
     pub owner: Instance,
-    /// First mint time that belongs to it.
+    /// The first mint time of the interval.
     #[serde(with = "millis")]
     pub from: MintTime,
-    /// First mint time that no longer belongs to it.
+    /// The first mint time after the interval.
     #[serde(with = "millis")]
     pub until: MintTime,
 }
 
 impl Interval {
-    /// Tells whether a key minted at `mint` belongs to this interval.
+    /// Returns whether `mint` lies in this interval.
     pub fn contains(&self, mint: MintTime) -> bool {
         self.from <= mint && mint < self.until
     }
 }
 
+/// Serializes a mint time as milliseconds.
 mod millis {
     use serde::{Deserialize, Deserializer, Serializer};
 
--- a/src/policy/once/ledger.rs
+++ b/src/policy/once/ledger.rs
@@ -1,25 +1,25 @@
-//! Outcomes of once calls at one guard.
+//! The ledger of once calls at one guard.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::entry::{ENTRY_COST, MAX_KEPT, cost};
+use super::entry::{ENTRY_COST, MAX_ANSWER_COST, cost};
 use super::{Entry, KeyState, OnceDecision, OnceRefusal, StoredAnswer};
 use crate::model::{MintTime, OnceKey};
 
-/// Bounds of a ledger.
+/// Limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLimits {
-    /// Most bytes that it holds.
+    /// Maximum size in bytes.
     pub bytes: usize,
-    /// How long keys are remembered after they were minted or first seen.
+    /// How long keys are retained after they were minted or first seen.
     pub retention: Duration,
 }
 
-/// Keeps outcomes, bounded in bytes and by age.
+/// Records the outcomes of once calls, bounded by size and age.
 ///
-/// Whatever is dropped raises the mint time below which keys are refused, so
-/// that forgetting a key never lets it run again.
+/// Dropping an entry raises the mint time up to which keys are refused, so that
+/// a dropped key never runs again.
 #[derive(Debug)]
 pub struct Ledger {
     limits: LedgerLimits,
@@ -31,7 +31,7 @@
 }
 
 impl Ledger {
-    /// Makes an empty ledger.
+    /// Creates an empty ledger.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Takes changed bounds; what no longer fits is dropped as calls come.
+    /// Changes the limits; entries beyond them are dropped by later calls.
     pub fn set_limits(&mut self, limits: LedgerLimits) {
         self.limits = limits;
     }
 
-    /// Decides on a call with `key` that this instance may start.
+    /// Decides on a call whose key this instance owns.
     pub fn begin(&mut self, now: MintTime, key: &OnceKey, body_hash: u64) -> OnceDecision {
         self.expire(now);
         if let Some(entry) = self.entries.get_mut(key) {
@@ -57,7 +57,7 @@
             }
             let begin = Self::resume(entry, body_hash);
             if begin == OnceDecision::Resume {
-                self.bytes += MAX_KEPT;
+                self.bytes += MAX_ANSWER_COST;
             }
             return begin;
         }
@@ -68,7 +68,7 @@
         if age <= self.forgotten {
             return OnceDecision::Refuse(OnceRefusal::Forgotten);
         }
-        if !self.make_room(ENTRY_COST + MAX_KEPT) {
+        if !self.make_room(ENTRY_COST + MAX_ANSWER_COST) {
             return OnceDecision::Refuse(OnceRefusal::LedgerFull);
         }
         if age <= self.forgotten {
@@ -88,35 +88,34 @@
                 OnceDecision::Resume
             }
             KeyState::Running => OnceDecision::Attach,
-            KeyState::Done(kept) if kept.body.is_none() => {
+            KeyState::Done(answer) if answer.body.is_none() => {
                 OnceDecision::Refuse(OnceRefusal::AnswerNotKept)
             }
-            KeyState::Done(kept) => OnceDecision::Answer(kept.clone()),
+            KeyState::Done(answer) => OnceDecision::Answer(answer.clone()),
             KeyState::Unknown => OnceDecision::Refuse(OnceRefusal::OutcomeLost),
         }
     }
 
-    /// Takes note that a running call was answered.
-    pub fn finish(&mut self, key: &OnceKey, mut kept: StoredAnswer) {
-        if kept.cost() > MAX_KEPT {
-            kept.body = None;
-            kept.headers.clear();
+    /// Records the answer of a running call; of one that is too large, only the status.
+    pub fn finish(&mut self, key: &OnceKey, mut answer: StoredAnswer) {
+        if answer.cost() > MAX_ANSWER_COST {
+            answer.body = None;
+            answer.headers.clear();
         }
-        self.set(key, KeyState::Done(kept));
+        self.set(key, KeyState::Done(answer));
     }
 
-    /// Takes note that the outcome of a running call was lost.
+    /// Records that the outcome of a running call was lost.
     pub fn mark_lost(&mut self, key: &OnceKey) {
         self.set(key, KeyState::Unknown);
     }
 
-    /// Takes note that a call was shed before it was started; it may start
-    /// later.
+    /// Records that a call was shed before it started; it may start later.
     pub fn release(&mut self, key: &OnceKey) {
         self.set(key, KeyState::Claimed);
     }
 
-    /// Drops a key that another instance owns.
+    /// Removes a key that another instance owns.
     pub fn remove(&mut self, key: &OnceKey) {
         if let Some(entry) = self.entries.remove(key) {
             self.bytes -= cost(key, &entry.state);
@@ -132,36 +131,36 @@
         }
     }
 
-    /// Returns what is known of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &OnceKey) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Tells whether a call with `key` can be answered without starting it.
+    /// Returns whether the call of `key` was already started.
     pub fn has_begun(&self, key: &OnceKey) -> bool {
         self.entries
             .get(key)
             .is_some_and(|entry| entry.state != KeyState::Claimed)
     }
 
-    /// Returns all entries, for a hand-over.
+    /// Returns all entries, for the hand-over.
     pub fn entries(&self) -> impl Iterator<Item = (&OnceKey, &Entry)> {
         self.entries.iter()
     }
 
-    /// Starts no key from now on, for good.
+    /// Stops the ledger permanently: no further call is started.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 
-    /// Tells whether no key is started any more.
+    /// Returns whether the ledger was stopped.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Takes over an entry of an instance that stops.
+    /// Takes over an entry of a stopping instance.
     ///
-    /// A key that is known here already is kept as it is.
+    /// An entry that exists here already is left unchanged.
     pub fn adopt(&mut self, now: MintTime, key: OnceKey, state: KeyState, body_hash: u64) {
         if self.entries.contains_key(&key) {
             return;
@@ -175,12 +174,12 @@
         self.make_room(0);
     }
 
-    /// Takes over the bound below which the other instance had forgotten keys.
+    /// Takes over the mint time up to which a stopping instance has dropped keys.
     pub fn adopt_forgotten(&mut self, forgotten: MintTime) {
         self.forgotten = self.forgotten.max(forgotten);
     }
 
-    /// Returns the mint time at and below which keys are refused.
+    /// Returns the mint time up to which new keys are refused.
     pub fn forgotten(&self) -> MintTime {
         self.forgotten
     }
@@ -190,12 +189,12 @@
         self.entries.len()
     }
 
-    /// Tells whether no key is known.
+    /// Returns whether the ledger has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the bytes that are accounted for.
+    /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -232,7 +231,7 @@
         true
     }
 
-    /// Drops the oldest entry that does not run.
+    /// Drops the oldest entry that is not running; returns whether there was one.
     fn drop_oldest(&mut self) -> bool {
         let running = |key: &OnceKey| {
             self.entries
--- a/src/policy/once/mod.rs
+++ b/src/policy/once/mod.rs
@@ -1,4 +1,4 @@
-//! At most once: who may ever start a key, and what became of it.
+//! At-most-once execution: which instance owns a key, and the outcome of its call.
 
 mod claim;
 mod decision;
--- a/src/policy/once/ownership.rs
+++ b/src/policy/once/ownership.rs
@@ -1,33 +1,32 @@
-//! The home row of a service: which instance may start which dated keys.
+//! The ownership row of a service: which instance owns which dated keys.
 
 use serde::{Deserialize, Serialize};
 
 use super::Interval;
 use crate::model::{Instance, MintTime, OnceKey};
 
-/// Slots into which the keys of a service are hashed.
+/// Number of slots that the keys of a service are hashed into.
 pub const SLOTS: usize = 64;
 
-/// Who may start a key.
+/// The instance that may start a key, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// This instance and no other, for good.
+    /// Only this instance, permanently.
     Instance(Instance),
-    /// Nobody yet; the mint time is past the end of the last interval.
+    /// None yet: the mint time is past the end of the last interval.
     NotYet,
-    /// Nobody, and never: the mint time lies before all intervals or between
-    /// two of them.
+    /// None ever: the mint time lies before all intervals or between two.
     Never,
-    /// It is no longer known; the key is older than the row's memory.
+    /// Unknown: the key is older than the row's retention.
     Forgotten,
 }
 
-/// One row of the table service per service, changed by conditional write.
+/// A row of the platform's store, one per service, changed by conditional write.
 ///
-/// Intervals of a slot are disjoint and in order. An interval is never given
-/// to another instance and never made shorter, except by its own owner. So
-/// any state of the row that an owner has read stays true for what it owns,
-/// however old it is: safety rests on no clock, lease or view.
+/// The intervals of a slot are disjoint and sorted. Only its owner may reassign
+/// or shorten an interval, so any version of the row that an owner has read
+/// stays valid for what it owns, however old. Safety depends on no clock, lease
+/// or membership view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipRow {
     slots: Vec<Vec<Interval>>,
@@ -44,11 +43,11 @@
 }
 
 impl OwnershipRow {
-    /// Reads a row from the platform.
+    /// Parses a row read from the platform's store.
     ///
     /// # Errors
     ///
-    /// Fails if the content is no home row.
+    /// Fails if the content is not a valid ownership row.
     pub fn decode(content: &[u8]) -> Result<Self, serde_json::Error> {
         let row: Self = serde_json::from_slice(content)?;
         if row.slots.len() != SLOTS {
@@ -57,7 +56,7 @@
         Ok(row)
     }
 
-    /// Writes the row for the platform.
+    /// Serializes the row for the platform's store.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -67,7 +66,7 @@
         (key.hash() % SLOTS as u64) as usize
     }
 
-    /// Tells who may start a key minted at `mint`.
+    /// Returns the owner of a key minted at `mint`.
     pub fn owner(&self, key: &OnceKey, mint: MintTime) -> Owner {
         if mint.as_millis() < self.forgotten {
             return Owner::Forgotten;
@@ -87,12 +86,12 @@
         &self.slots
     }
 
-    /// Returns the slots to change them; see the type for what must hold.
+    /// Returns the slots for modification; the invariants of the type must hold.
     pub(super) fn slots_mut(&mut self) -> &mut [Vec<Interval>] {
         &mut self.slots
     }
 
-    /// Drops what ended before `time`; keys minted earlier are refused.
+    /// Drops intervals that end at or before `time` and refuses keys minted earlier.
     pub(super) fn forget(&mut self, time: MintTime) {
         self.forgotten = self.forgotten.max(time.as_millis());
         for slot in &mut self.slots {
@@ -100,10 +99,10 @@
         }
     }
 
-    /// Tells whether `later` keeps every promise that this row made to
+    /// Returns whether `later` preserves every interval that this row assigns to
     /// instances other than `writer`.
     pub fn allows(&self, later: &Self, writer: Instance) -> bool {
-        let kept = |slot: usize, interval: &Interval| {
+        let preserved = |slot: usize, interval: &Interval| {
             interval.owner == writer
                 || interval.until.as_millis() <= later.forgotten
                 || later.slots[slot].iter().any(|new| {
@@ -115,7 +114,7 @@
         self.slots
             .iter()
             .enumerate()
-            .all(|(slot, intervals)| intervals.iter().all(|i| kept(slot, i)))
+            .all(|(slot, intervals)| intervals.iter().all(|i| preserved(slot, i)))
             && later.is_ordered()
     }
 
--- a/src/policy/once/plan.rs
+++ b/src/policy/once/plan.rs
@@ -1,4 +1,4 @@
-//! How a home row is extended, given to successors and handed over.
+//! Extension, reassignment and hand-over of an ownership row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use super::{Interval, OwnershipRow, SLOTS};
 use crate::model::{Instance, MintTime};
 
-/// How far ahead mint times are given out, and how long they are remembered.
+/// How far ahead mint times are assigned, and how long intervals are retained.
 #[derive(Clone, Copy, Debug)]
 pub struct Horizon {
-    /// How far ahead of now an extension reaches.
+    /// How far an extension reaches beyond the present.
     pub ahead: Duration,
-    /// How long intervals are remembered.
+    /// How long intervals are retained after their end.
     pub retention: Duration,
 }
 
@@ -25,15 +25,15 @@
     }
 }
 
-/// An instance that takes over from one that stops.
+/// The instance that takes over from a stopping one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Successor(pub Instance);
 
 /// Computes the next state of a row, or `None` if it need not change.
 ///
-/// Owners in `live` keep their slots and are extended; slots of others go on
-/// to a live instance from the end of the last interval, never earlier. The
-/// row is due when less than half of the horizon is left anywhere.
+/// Slots whose owner is in `live` are extended; the others are assigned to a
+/// live instance from the end of their last interval on, never earlier. The row
+/// is due for a change when a slot has less than half of the horizon left.
 pub fn plan_ownership(
     row: &OwnershipRow,
     now: MintTime,
@@ -68,7 +68,7 @@
     let Some(last) = slot.last_mut() else {
         slot.push(Interval {
             owner: shares.take(None),
-            // Nobody owned any earlier mint time, so nobody can have run it.
+            // No instance owned an earlier mint time, so none can have run its key.
             from: MintTime::default(),
             until,
         });
@@ -79,7 +79,7 @@
         last.until = last.until.max(until);
         return;
     }
-    // The successor begins where the last owner's right ends.
+    // The new owner starts where the interval of the last one ends.
     let from = last.until;
     slot.push(Interval {
         owner,
@@ -88,22 +88,23 @@
     });
 }
 
-/// Computes the row in which `own` gives up all that it owns to `successor`.
+/// Computes the row in which `own` hands over all its intervals to `successor`.
 ///
-/// Only `own` itself may write it, after it has stopped starting keys and the
+/// Only `own` may write it, after it has stopped starting calls and the
 /// successor has its ledger.
 pub fn hand_over(row: &OwnershipRow, own: Instance, successor: Successor) -> OwnershipRow {
     let mut next = row.clone();
-    let Successor(heir) = successor;
+    let Successor(next_owner) = successor;
     for slot in next.slots_mut() {
         for interval in slot.iter_mut().filter(|i| i.owner == own) {
-            interval.owner = heir;
+            interval.owner = next_owner;
         }
         merge(slot);
     }
     next
 }
 
+/// Joins adjacent intervals of the same owner.
 fn merge(slot: &mut Vec<Interval>) {
     slot.dedup_by(|later, earlier| {
         let same = earlier.owner == later.owner && earlier.until == later.from;
@@ -114,7 +115,7 @@
     });
 }
 
-/// Spreads slots evenly over live instances.
+/// Distributes slots evenly over live instances.
 struct Shares {
     counts: BTreeMap<Instance, usize>,
     fair: usize,
@@ -132,8 +133,8 @@
         Self { counts, fair }
     }
 
-    /// Returns who owns a slot next: the present owner unless it is gone or
-    /// has more than its share while another has less.
+    /// Returns the next owner of a slot: the present one, unless it is gone or
+    /// has more than its fair share while another instance has at least two fewer.
     fn take(&mut self, present: Option<Instance>) -> Instance {
         let least = self.least();
         let Some(present) = present else {
@@ -159,8 +160,8 @@
         let found = self.counts.iter().min_by_key(|(_, count)| **count);
         match found {
             Some((instance, _)) => *instance,
-            // `plan_ownership` returns before this when nobody is live.
-            None => unreachable!("shares are never made of no instances"),
+            // `plan_ownership` returns early if no instance is live.
+            None => unreachable!("shares need at least one instance"),
         }
     }
 }
--- a/src/policy/once/refusal.rs
+++ b/src/policy/once/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a once call was not started, and what that says of its key.
+//! Reasons for refusing a once call.
 
 use std::fmt;
 
@@ -7,35 +7,35 @@
 /// Why a once call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OnceRefusal {
-    /// No instance may start keys of this mint time yet.
+    /// No instance owns keys of this mint time yet.
     NotOwned,
-    /// The only instance that may start the key is gone.
+    /// The owner of the key is gone.
     OwnerLost,
-    /// The only instance that may start the key cannot be reached.
+    /// The owner of the key cannot be reached.
     OwnerUnreachable,
-    /// This instance is not the one that may start the key.
+    /// Another instance owns the key.
     WrongOwner,
-    /// The key is older than what is remembered.
+    /// The key is older than the retention of keys.
     Forgotten,
-    /// The key came before with another body.
+    /// The key was already used with another body.
     BodyDiffers,
-    /// The call was started and its outcome was lost.
+    /// The call was started, but its outcome was lost.
     OutcomeLost,
-    /// The instance that was asked has not seen the key so far.
+    /// The queried instance has not seen the key.
     Unseen,
-    /// The key could not be claimed, since the platform does not answer.
+    /// The key could not be claimed because the platform does not respond.
     NoPlatform,
     /// The ledger has no room for another running call.
     LedgerFull,
-    /// The call ran, but its answer was too large to keep.
+    /// The call ran, but its answer was too large to store.
     AnswerNotKept,
 }
 
 impl OnceRefusal {
-    /// Returns what the refusal says of the attempt.
+    /// Returns whether the refused attempt ran.
     ///
     /// An earlier attempt with the same key may have run elsewhere; the entry
-    /// takes that into account.
+    /// accounts for that.
     pub const fn verdict(self) -> Verdict {
         match self {
             Self::NotOwned | Self::WrongOwner | Self::NoPlatform | Self::LedgerFull => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the text that stands in answers, logs and metrics.
+    /// Returns the text used in answers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotOwned => "key-not-owned-yet",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns what the caller should do.
+    /// Returns advice for the caller.
     pub const fn advice(self) -> &'static str {
         match self {
             Self::NotOwned => "repeat later, or use the key in Bramleymount-Ticket",
