--- a/src/policy/member/budget.rs
+++ b/src/policy/member/budget.rs
@@ -1,19 +1,19 @@
-//! One daemon's share of what the platform can take.
+//! Rate limit of one daemon's requests to the platform.
 
 use std::time::Duration;
 
 use rand::Rng;
 use tokio::time::Instant;
 
-/// Shortest wait after a platform request failed.
+/// Delay after the first failed request.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest wait after platform requests failed.
+/// Default maximum delay after failed requests.
 const MAX_BACKOFF: Duration = Duration::from_secs(20);
 
-/// A token bucket over requests to the platform, with back-off after failures.
+/// A token bucket for requests to the platform, with exponential backoff.
 ///
-/// With `n` daemons the estate stays within `n` times the rate also when all
-/// of them start at once, since the bucket starts with one burst only.
+/// The bucket starts with a single burst, so an estate of `n` daemons stays
+/// within `n` times the rate even if all of them start at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     rate: f64,
@@ -26,7 +26,7 @@
 }
 
 impl Budget {
-    /// Makes a budget of `rate` requests a second and at most `burst` at once.
+    /// Creates a budget of `rate` requests per second and at most `burst` at once.
     pub fn new(now: Instant, rate: f64, burst: f64) -> Self {
         Self {
             rate,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Makes a budget that waits at most `longest` after failures.
+    /// Creates a budget that waits about `max_backoff` at most after failures.
     pub fn with_max_backoff(now: Instant, rate: f64, burst: f64, max_backoff: Duration) -> Self {
         Self {
             max_backoff,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes leave for one request, if there is any now.
+    /// Takes a token for one request; returns whether one was available.
     pub fn try_take(&mut self, now: Instant) -> bool {
         if self.blocked_until.is_some_and(|until| now < until) {
             return false;
@@ -62,14 +62,14 @@
         true
     }
 
-    /// Takes note that the platform answered.
+    /// Records that the platform answered, and resets the backoff.
     pub fn record_answer(&mut self) {
         self.failures = 0;
         self.blocked_until = None;
     }
 
-    /// Takes note that the platform did not answer; the next request waits
-    /// longer each time, spread at random.
+    /// Records that the platform did not answer. The delay doubles with each
+    /// failure and is randomized.
     pub fn record_failure<R: Rng>(&mut self, now: Instant, rng: &mut R) {
         let wait = (MIN_BACKOFF * 2u32.saturating_pow(self.failures.min(16))).min(self.max_backoff);
         self.failures += 1;
--- a/src/policy/member/link.rs
+++ b/src/policy/member/link.rs
@@ -1,4 +1,4 @@
-//! One standing connection to a neighbour.
+//! State of the gossip with one neighbour.
 
 use std::time::Duration;
 
@@ -7,41 +7,41 @@
 use super::ChangeCount;
 use crate::model::Instance;
 
-/// After this long without an answer a watched neighbour is called silent.
+/// How long a watched neighbour may leave exchanges unanswered before it is silent.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Exchanges that must have failed before it is called silent.
+/// Failed exchanges before a watched neighbour is silent.
 const MIN_FAILURES: u32 = 3;
 
-/// What a link tells of the neighbour.
+/// What a failed exchange means for the neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// Nothing has changed.
+    /// Its state is unchanged.
     Unchanged,
-    /// It has been silent for too long.
+    /// It has not answered for too long.
     Silent,
 }
 
-/// How often a neighbour whose view stays different is told everything.
+/// Interval at which the whole view is resent while the two views differ.
 const RESEND_INTERVAL: Duration = Duration::from_secs(15);
 
-/// How far two daemons have told each other their changes.
+/// How far two daemons have exchanged their changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SyncPosition {
-    /// Up to which own change the neighbour has been told.
+    /// The last own change that was sent to the neighbour.
     pub sent: Option<ChangeCount>,
-    /// Up to which change of its view it has told us.
+    /// The last change of the neighbour's view that was received.
     pub received: ChangeCount,
-    /// The same of its home rows.
+    /// The last change of its ownership rows that was received.
     pub homes_received: ChangeCount,
-    /// Up to which change of the own suspects the neighbour has been told.
+    /// The last change of the own suspects that was sent.
     pub suspects_sent: ChangeCount,
-    /// Up to which change of its suspects it has told us.
+    /// The last change of its suspects that was received.
     pub suspects_received: ChangeCount,
-    /// The instance that the counts belong to.
+    /// The neighbour's instance that the counts belong to.
     pub instance: Option<Instance>,
 }
 
-/// What one neighbour has been told and when it last answered.
+/// How far the exchange with one neighbour has come, and when it last answered.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     position: SyncPosition,
@@ -51,7 +51,7 @@
 }
 
 impl Link {
-    /// Makes the link to a neighbour that has been told nothing.
+    /// Creates the link to a neighbour that has received nothing yet.
     pub fn new(now: Instant) -> Self {
         Self {
             position: SyncPosition::default(),
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Returns how far the two sides have told each other.
+    /// Returns how far the two sides have exchanged their changes.
     pub fn position(&self) -> SyncPosition {
         self.position
     }
 
-    /// Takes note of an answer; `same` tells whether both views are now equal.
+    /// Records an answer; `same` is whether both views are now equal.
     ///
-    /// News under way makes views differ for a while. Only if they stay
-    /// different is everything told again.
+    /// Updates in transit make views differ briefly. Only if they remain
+    /// different, everything is sent again.
     pub fn record_answer(&mut self, now: Instant, position: SyncPosition, same: bool) {
         self.position = position;
         self.last_answer = now;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes note that it did not answer.
+    /// Records that the neighbour did not answer.
     pub fn record_failure(&mut self, now: Instant) -> LinkEvent {
         self.failures += 1;
         let silence = now.saturating_duration_since(self.last_answer);
--- a/src/policy/member/mod.rs
+++ b/src/policy/member/mod.rs
@@ -1,4 +1,4 @@
-//! Who is in the estate, who watches whom, and which configuration is in force.
+//! Membership, gossip neighbours and the rollout of the configuration.
 
 mod budget;
 mod link;
--- a/src/policy/member/neighbours.rs
+++ b/src/policy/member/neighbours.rs
@@ -1,29 +1,29 @@
-//! With whom a daemon keeps standing connections.
+//! Choice of the neighbours that a daemon gossips with.
 
 use super::View;
 use super::ranks::rank_hash;
 use crate::model::{CentreName, Instance};
 
-/// Daemons of each data centre that use the platform's store for the others.
+/// Number of delegates per data centre.
 const DELEGATES: usize = 4;
 
-/// Seeds of the points on the ring across which further connections go.
+/// Hash seeds that select the neighbours besides the watched one.
 const NEAR_SEED: u64 = 1;
 const FAR_SEED: u64 = 2;
 
-/// The standing connections of one daemon.
+/// The neighbours of one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Neighbours {
-    /// The next daemon of the data centre, which this one watches.
+    /// The next daemon in the ring of the data centre, which this one monitors.
     pub watched: Option<Instance>,
-    /// Another of the own data centre.
+    /// Another daemon of the own data centre.
     pub near: Option<Instance>,
     /// Daemons of other data centres.
     pub far: Vec<Instance>,
 }
 
 impl Neighbours {
-    /// Returns all of them.
+    /// Returns all neighbours.
     pub fn all(&self) -> impl Iterator<Item = Instance> + '_ {
         let near = self.watched.iter().chain(&self.near);
         near.chain(&self.far).copied()
@@ -32,11 +32,11 @@
 
 /// Computes the neighbours of the daemon whose view this is.
 ///
-/// Within a data centre the daemons stand in a ring by rank, with one more
-/// connection across it; each has one to the next data centre of a ring of
-/// data centres and one to another by hash. So news goes everywhere in few
-/// hops, and neither the number of connections nor the work to find them grows
-/// with the estate.
+/// The daemons of a data centre form a ring by rank, and each has one more
+/// neighbour across it. Each also has one in the next data centre of a ring of
+/// data centres and one in another, chosen by hash. Updates reach all daemons in
+/// few hops, and neither the number of neighbours nor the cost of finding them
+/// grows with the estate.
 pub fn neighbours(view: &View) -> Neighbours {
     let own = view.own();
     let instance = own.instance;
@@ -74,16 +74,16 @@
         .collect()
 }
 
-/// Returns the chance with which a daemon that has no configuration reads it from
-/// the store, so that in a start of all as many of each data centre read it at a
-/// time whatever its size.
+/// Returns the probability with which a daemon without a configuration reads it
+/// from the store. When all daemons start at once, the expected number of
+/// readers per data centre is then the same for any size.
 pub fn read_probability(view: &View) -> f64 {
     let members = view.running().members(&view.own().centre).count();
     DELEGATES as f64 / members.max(DELEGATES) as f64
 }
 
-/// Tells whether the daemon whose view this is comes first in its data centre,
-/// so that it uses the platform's store for the others.
+/// Returns whether the daemon whose view this is ranks among the first of its
+/// data centre, so that it should use the platform's store for the others.
 pub fn is_delegate(view: &View) -> bool {
     let own = view.own();
     let mut first = view.running().members(&own.centre).take(DELEGATES);
--- a/src/policy/member/presence.rs
+++ b/src/policy/member/presence.rs
@@ -1,17 +1,17 @@
-//! Which run of the backend server stands behind a guard.
+//! The run of the backend server behind a guard.
 
 use std::collections::VecDeque;
 
 use crate::model::{Born, RunId, ServerId, Slots};
 
-/// Runs that are remembered as gone, so that late news of them is known to be
-/// old. A VM sees a few runs a day.
+/// Number of ended runs to remember, so that late announcements of them are
+/// recognized as stale. A VM sees a few runs a day.
 const MAX_GONE: usize = 64;
 
-/// Whether a backend server takes calls, as it announces itself.
+/// Whether a backend server accepts calls, by its announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intent {
-    /// It takes calls.
+    /// It accepts calls.
     Serve,
     /// It is about to stop.
     Leave,
@@ -20,33 +20,32 @@
 /// One announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The server that announces itself.
+    /// The server that sent it.
     pub server: ServerId,
-    /// When this run of it started, if it says so; a server may start again
-    /// under its id.
+    /// When this run started, if announced; a server may restart under its id.
     pub start: Option<Born>,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub intent: Intent,
-    /// Calls that it runs at one time.
+    /// Number of concurrent calls.
     pub slots: Slots,
-    /// Whether it is still slow after its start.
+    /// Whether it is still warming up after its start.
     pub cold: bool,
-    /// Orders the announcements of one run.
+    /// The order among the announcements of one run.
     pub sequence: u64,
 }
 
-/// What an announcement changes.
+/// The effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementEffect {
-    /// Another run has taken the place.
+    /// A new run has replaced the present one, if any.
     Arrived,
-    /// The run that was leaving stays after all.
+    /// The run had announced that it leaves, and accepts calls again.
     Resumed,
-    /// The same run is still there.
+    /// The present run still accepts calls.
     Renewed,
-    /// The run takes no new calls.
+    /// The run accepts no new calls.
     Leaving,
-    /// The announcement is older than what is known.
+    /// The announcement is outdated.
     Stale,
 }
 
@@ -62,10 +61,10 @@
         RunId::of(&self.server, self.start)
     }
 
-    /// Tells whether this run is of the same server and started later, by what
-    /// both say of their start.
+    /// Returns whether this run is of the same server and started later; `false`
+    /// if either start is unknown.
     fn follows(&self, other: &Self) -> bool {
-        let later = matches!((self.start, other.start), (Some(own), Some(born)) if own > born);
+        let later = matches!((self.start, other.start), (Some(own), Some(other)) if own > other);
         later && self.server == other.server
     }
 }
@@ -75,15 +74,15 @@
     run: Run,
     sequence: u64,
     intent: Intent,
-    /// Whether it said with an answer that it leaves, which holds to its end:
-    /// announcements come late, and older ones may say otherwise.
+    /// Whether an answer of the run reported that it leaves. This is final, since
+    /// announcements may be late and older ones may contradict it.
     leaving: bool,
 }
 
-/// Orders announcements that may come late, twice or from a run that is gone.
+/// Orders announcements that may be late, duplicated or from an ended run.
 ///
-/// Runs are told apart by the id of the server and, where it says so, by their
-/// start: of two runs with one id the later holds, and the earlier is gone.
+/// Runs are distinguished by the server's id and, if announced, by their start.
+/// Of two runs with the same id, the earlier one has ended.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     present: Option<Present>,
@@ -91,25 +90,25 @@
 }
 
 impl Presence {
-    /// Returns the server that is present.
+    /// Returns the present server.
     pub fn server(&self) -> Option<&ServerId> {
         self.present.as_ref().map(|present| &present.run.server)
     }
 
-    /// Returns the run that is present.
+    /// Returns the present run.
     pub fn run(&self) -> Option<RunId> {
         self.present.as_ref().map(|present| present.run.id())
     }
 
-    /// Tells whether the present run leaves for good: it said so with an answer,
-    /// or has said goodbye.
+    /// Returns whether the present run is leaving permanently, by one of its
+    /// answers or because it has departed.
     pub fn is_leaving(&self) -> bool {
         let mut present = self.present.iter();
         present.any(|present| present.leaving || self.gone.contains(&present.run))
     }
 
-    /// Takes note that a run said with an answer that it leaves; returns whether
-    /// that is news of the run that is present.
+    /// Records that an answer of a run reported that it leaves; returns whether
+    /// this changed the present run.
     pub fn record_leaving(&mut self, run: RunId) -> bool {
         let Some(present) = &mut self.present else {
             return false;
@@ -122,23 +121,28 @@
         is_news
     }
 
-    /// Takes an announcement.
-    pub fn announce(&mut self, news: &Announcement) -> AnnouncementEffect {
+    /// Applies an announcement.
+    pub fn announce(&mut self, announcement: &Announcement) -> AnnouncementEffect {
         let run = Run {
-            server: news.server.clone(),
-            start: news.start,
+            server: announcement.server.clone(),
+            start: announcement.start,
         };
         if self.is_gone(&run) {
             return AnnouncementEffect::Stale;
         }
         let last = self.present.as_ref();
         let same = last.filter(|last| last.run.server == run.server && !run.follows(&last.run));
-        if same.is_some_and(|last| last.run.follows(&run) || news.sequence <= last.sequence) {
+        if same.is_some_and(|last| last.run.follows(&run) || announcement.sequence <= last.sequence)
+        {
             return AnnouncementEffect::Stale;
         }
         let before = same.map(|last| last.intent);
         let leaving = same.is_some_and(|last| last.leaving);
-        let intent = if leaving { Intent::Leave } else { news.intent };
+        let intent = if leaving {
+            Intent::Leave
+        } else {
+            announcement.intent
+        };
         if before.is_none()
             && let Some(replaced) = self.present.take()
         {
@@ -146,7 +150,7 @@
         }
         self.present = Some(Present {
             run,
-            sequence: news.sequence,
+            sequence: announcement.sequence,
             intent,
             leaving,
         });
@@ -158,8 +162,8 @@
         }
     }
 
-    /// Takes note that a server has said goodbye, and of which run if it told;
-    /// returns whether it was the one that is present.
+    /// Records that a server has departed, with the start of its run if known;
+    /// returns whether it was the present run.
     pub fn record_departure(&mut self, server: &ServerId, start: Option<Born>) -> bool {
         let departed = Run {
             server: server.clone(),
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Takes note that a call meant for `server` met another one at its
-    /// address, with its id if it told.
+    /// Records that a call for `server` reached another server at its address,
+    /// with the id of that one if known.
     pub fn record_mismatch(&mut self, server: &ServerId, found: Option<&ServerId>) {
         if let Some(found) = found {
             self.gone.retain(|gone| gone.server != *found);
@@ -197,22 +201,22 @@
         }
     }
 
-    /// Tells whether the run that is present takes calls.
+    /// Returns whether the present run accepts calls.
     pub fn is_serving(&self) -> bool {
         self.present.as_ref().is_some_and(|present| {
             present.intent == Intent::Serve && !self.gone.contains(&present.run)
         })
     }
 
-    /// Tells whether a run is gone: one that is buried, or one of a buried
-    /// server that did not start later.
+    /// Returns whether a run has ended: it was retired, or it is of a server with
+    /// a retired run and is not known to have started later.
     fn is_gone(&self, run: &Run) -> bool {
         let mut same = self.gone.iter().filter(|gone| gone.server == run.server);
         same.any(|gone| !run.follows(gone))
     }
 
-    /// Buries a run that is not present. Where its start is not known, it is
-    /// taken to have started before the present one.
+    /// Retires a run that is not present. If its start is unknown, the start of
+    /// the present run is used as an upper bound.
     fn retire_unseen(&mut self, run: Run) {
         let known = self.gone.iter().any(|gone| gone.server == run.server);
         if known && run.start.is_none() {
--- a/src/policy/member/ranks.rs
+++ b/src/policy/member/ranks.rs
@@ -1,4 +1,4 @@
-//! Running members of each data centre in an order that all daemons agree on.
+//! Running members of each data centre, in an order that all daemons agree on.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,13 +6,13 @@
 
 use crate::model::{CentreName, Instance};
 
-/// The place of a member among those of its data centre: a hash of its address.
+/// The sort key of a member within its data centre: a hash and its address.
 type Rank = (u64, SocketAddr);
 
 /// The running members by data centre and rank.
 ///
-/// A member that comes or goes changes one entry, and whoever stands next to a
-/// place is found without a look at the others.
+/// A member that joins or leaves changes one entry, and the members next to a
+/// given rank are found without scanning the others.
 #[derive(Clone, Debug, Default)]
 pub struct RankedMembers {
     centres: BTreeMap<CentreName, BTreeMap<Rank, Instance>>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the data centres that have running members, in order.
+    /// Returns the data centres that have running members, sorted by name.
     pub fn centres(&self) -> impl Iterator<Item = &CentreName> {
         self.centres.keys()
     }
@@ -49,15 +49,15 @@
             .flat_map(|members| members.values().copied())
     }
 
-    /// Returns the members of a data centre in order of rank, from the first
-    /// whose hash lies beyond `hash` on, once round.
+    /// Returns the members of a data centre as a ring in order of rank, starting
+    /// with the first whose hash is greater than `hash`.
     pub fn ring_from(&self, centre: &CentreName, hash: u64) -> impl Iterator<Item = Instance> + '_ {
         let members = self.centres.get(centre);
         members.into_iter().flat_map(move |members| {
             let beyond = (Bound::Excluded((hash, last_address())), Bound::Unbounded);
             let before = ..=(hash, last_address());
-            let round = members.range(beyond).chain(members.range(before));
-            round.map(|(_, instance)| *instance)
+            let ring = members.range(beyond).chain(members.range(before));
+            ring.map(|(_, instance)| *instance)
         })
     }
 }
@@ -71,7 +71,7 @@
     (rank_hash(instance), instance.address)
 }
 
-/// Returns an address that no other comes after.
+/// Returns the address that sorts last.
 fn last_address() -> SocketAddr {
     SocketAddr::new(std::net::Ipv6Addr::from(u128::MAX).into(), u16::MAX)
 }
--- a/src/policy/member/record.rs
+++ b/src/policy/member/record.rs
@@ -1,4 +1,4 @@
-//! What is said of one daemon.
+//! Membership records.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,32 +8,32 @@
 use crate::error::Error;
 use crate::model::{CentreName, Instance, ServiceName, Slots};
 
-/// Orders what is said of one instance; only the instance itself raises it.
+/// Orders the records of one instance; only the instance itself increments it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Whether an instance takes calls; later states override earlier ones of the
-/// same beat.
+/// The state of an instance; within one incarnation, later variants override
+/// earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// The daemon runs, and its backend server has not announced itself.
+    /// The daemon runs, but its backend server has not announced itself.
     Waiting,
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It takes no new calls.
+    /// It accepts no new calls.
     Leaving,
-    /// Its watcher does not hear from it.
+    /// It does not answer the neighbour that watches it.
     Silent,
-    /// It has stopped for good.
+    /// It has stopped permanently.
     Left,
 }
 
 impl MemberState {
-    /// Returns the text that stands in messages.
+    /// Returns the text used in messages.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -70,31 +70,31 @@
 
 /// One daemon and the backend server behind it.
 ///
-/// Which configuration it runs is no news of it: told by each member to all, a
-/// change would cost every daemon an entry of 90 bytes a member and neighbour,
-/// 124 KB a second at 5,300 members and 5,600 changes a day. Who wants to know
-/// asks ([`crate::peer::version_of`]).
+/// The record does not contain the configuration version. If each member sent it
+/// to all others, every change would cost each daemon 90 bytes per member and
+/// neighbour: 124 KB per second at 5,300 members and 5,600 changes a day. It is
+/// queried on demand instead ([`crate::peer::version_of`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The run of the daemon.
+    /// The daemon instance.
     pub instance: Instance,
     /// Its data centre.
     pub centre: CentreName,
     /// The service of its backend server.
     pub service: ServiceName,
-    /// The order of this news among others of the instance.
+    /// The order of this record among those of the instance.
     #[serde(rename = "beat")]
     pub incarnation: Incarnation,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub state: MemberState,
-    /// Calls that its backend server runs at one time, as that announces; by
-    /// the inventory if it does not.
+    /// Concurrent calls of its backend server, as announced by the server; if
+    /// `None`, the inventory applies.
     #[serde(default)]
     pub slots: Option<Slots>,
 }
 
 impl Member {
-    /// Tells whether this news of one instance overrides `other`.
+    /// Returns whether this record overrides `other` of the same instance.
     pub fn overrides(&self, other: &Self) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
--- a/src/policy/member/role.rs
+++ b/src/policy/member/role.rs
@@ -1,30 +1,31 @@
-//! Whether a daemon uses the platform's store itself.
+//! The role of a daemon at the platform's store.
 //!
-//! The load answered here: an estate of a thousand daemons that starts at once,
-//! and goes on for days. If each reads, writes and follows rows for itself, the
-//! store gets calls in proportion to the daemons, all of them in the first
-//! second. A few of each data centre suffice: what they learn travels between
-//! neighbours anyway, and no caller waits for it.
+//! If every daemon read, wrote and followed rows itself, the store's load would
+//! grow with the estate and peak when a thousand daemons start at once. A few
+//! delegates per data centre suffice: gossip passes on what they learn, and no
+//! caller waits for it.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long a daemon must come first before it acts for its data centre, so that
-/// in a start of all, while views fill, not each does so in turn.
+/// How long a daemon must rank among the first before it becomes a delegate.
+///
+/// When all daemons start at once, many rank first briefly while views fill up.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// How long one that no longer comes first still acts, until the one that does
-/// has settled.
+/// How long a delegate that no longer ranks among the first continues, until its
+/// replacement has settled.
 const LINGER_TIME: Duration = Duration::from_secs(3);
-/// After this long without an answer of any neighbour a daemon is cut off: one and
-/// a half times what lies between two questions to them. A version of the
-/// configuration is then still read within two seconds of its acceptance.
+/// How long after the last answer of any neighbour a daemon counts as isolated.
+///
+/// It is one and a half gossip intervals, so that an isolated daemon still reads
+/// a version of the configuration within two seconds of its acceptance.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// For whom a daemon uses the platform's store.
+/// On whose behalf a daemon uses the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreRole {
-    /// For nobody: others of its data centre do.
+    /// It does not use the store; delegates of its data centre do.
     None,
     /// For itself, since no other daemon answers it.
     Isolated,
@@ -33,12 +34,12 @@
 }
 
 impl StoreRole {
-    /// Tells whether the daemon uses the store at all.
+    /// Returns whether the daemon uses the store at all.
     pub const fn uses_store(self) -> bool {
         !matches!(self, Self::None)
     }
 
-    /// Returns the word that stands in log lines.
+    /// Returns the text used in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -48,22 +49,22 @@
     }
 }
 
-/// What decides on the duty of one daemon.
+/// Determines the role of one daemon over time.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleTracker {
-    /// Until when it waits for neighbours that it was told of at its start.
+    /// When it may use the store although no neighbour has answered.
     solo_from: Instant,
-    /// When a neighbour answered last.
+    /// When a neighbour last answered.
     last_answer: Option<Instant>,
-    /// Since when it comes first without a break.
+    /// Since when it has ranked among the first without interruption.
     first_since: Option<Instant>,
-    /// When it acted for its data centre last.
+    /// When it was last a settled delegate.
     last_delegate: Option<Instant>,
 }
 
 impl RoleTracker {
-    /// Makes the term of a daemon that starts now and uses the store after
-    /// `patience` if nobody answers it.
+    /// Creates the tracker of a daemon that starts now and uses the store after
+    /// `patience` if no neighbour answers.
     pub fn new(now: Instant, patience: Duration) -> Self {
         Self {
             solo_from: now + patience,
@@ -73,18 +74,18 @@
         }
     }
 
-    /// Takes note that a neighbour answered.
+    /// Records an answer of a neighbour.
     pub fn record_answer(&mut self, now: Instant) {
         self.last_answer = Some(now);
     }
 
-    /// Tells whether a neighbour has ever answered.
+    /// Returns whether a neighbour has ever answered.
     pub fn has_answer(&self) -> bool {
         self.last_answer.is_some()
     }
 
-    /// Decides; `first` tells whether the daemon comes first in its data centre
-    /// by what it knows of the others.
+    /// Returns the current role; `first` is whether the daemon ranks among the
+    /// first of its data centre by its own view.
     pub fn decide(&mut self, now: Instant, first: bool) -> StoreRole {
         self.first_since = first.then(|| self.first_since.unwrap_or(now));
         if self.is_isolated(now) {
--- a/src/policy/member/rollout.rs
+++ b/src/policy/member/rollout.rs
@@ -1,19 +1,19 @@
-//! Which version of the configuration is in force at one daemon.
+//! The configuration version in force at one daemon.
 
 use crate::model::Version;
 
-/// What to do about a version that was heard of.
+/// How to handle a version learned from a neighbour or the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionDecision {
-    /// Fetch it and put it in force.
+    /// Fetch and apply it.
     Apply,
     /// It is in force already.
     Same,
-    /// It is older than what is in force; it is never taken.
+    /// It is older than the version in force and is never applied.
     Older,
 }
 
-/// The version in force, which only grows.
+/// The version in force, which only increases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rollout {
     current: Version,
@@ -25,7 +25,7 @@
         self.current
     }
 
-    /// Decides on a version that was heard of.
+    /// Decides how to handle a version.
     pub fn decide(&self, version: Version) -> VersionDecision {
         match version.cmp(&self.current) {
             std::cmp::Ordering::Greater => VersionDecision::Apply,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes note that `version` is in force; returns whether it was newer.
+    /// Records that `version` is in force; returns whether it was newer.
     pub fn advance(&mut self, version: Version) -> bool {
         let newer = version > self.current;
         self.current = self.current.max(version);
--- a/src/policy/member/view.rs
+++ b/src/policy/member/view.rs
@@ -1,4 +1,4 @@
-//! All members as one daemon knows them.
+//! The membership view of one daemon.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use super::{Incarnation, Member, MemberState, RankedMembers};
 use crate::model::{Instance, ServiceName};
 
-/// How long a stopped member is remembered, so that old news of it is known
-/// to be old.
+/// How long a stopped member is retained, so that late updates of it are
+/// recognized as stale.
 const LEFT_RETENTION: Duration = Duration::from_secs(3600);
 
 /// Counts the changes of a view.
@@ -22,25 +22,25 @@
 #[derive(Clone, Debug)]
 struct MemberEntry {
     member: Member,
-    /// The latest change of it.
+    /// The latest change of the member.
     change: ChangeCount,
-    ended: Option<Instant>,
+    left_at: Option<Instant>,
 }
 
-/// Members that were changed, as far as they were asked for.
+/// Part of the changed members of a view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The members, those changed first before the others.
+    /// The members, in order of their change.
     pub members: Vec<Member>,
-    /// The change up to which they are all told.
+    /// The change up to which the page is complete.
     pub change: ChangeCount,
 }
 
-/// The members of the estate, one run per address.
+/// The members of the estate, one instance per address.
 ///
-/// News spreads as changes only; there is no periodic news of members that
-/// are well. A member is called silent by its watcher alone, and overrides
-/// that by raising its own beat.
+/// Only changes are gossiped; healthy members cause no periodic updates. A member
+/// is marked silent only by its watcher, and refutes that by incrementing its own
+/// incarnation.
 #[derive(Debug)]
 pub struct View {
     own: Member,
@@ -53,7 +53,7 @@
 }
 
 impl View {
-    /// Makes the view of a daemon that knows only itself.
+    /// Creates the view of a daemon that knows only itself.
     pub fn new(now: Instant, own: Member) -> Self {
         let mut view = Self {
             own: own.clone(),
@@ -67,12 +67,12 @@
         view
     }
 
-    /// Returns what this daemon says of itself.
+    /// Returns the record of this daemon.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Changes what this daemon says of itself.
+    /// Changes the record of this daemon, and increments its incarnation if it differs.
     pub fn update_own(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
         let mut own = self.own.clone();
         change(&mut own);
@@ -84,58 +84,61 @@
         self.insert(now, own);
     }
 
-    /// Takes news of a member; returns whether it changed the view.
-    pub fn merge(&mut self, now: Instant, news: Member) -> bool {
-        if news.instance == self.own.instance {
-            return self.refute(now, &news);
+    /// Merges an update of a member; returns whether it changed the view.
+    pub fn merge(&mut self, now: Instant, update: Member) -> bool {
+        if update.instance == self.own.instance {
+            return self.refute(now, &update);
         }
-        if news.instance.address == self.own.instance.address {
+        if update.instance.address == self.own.instance.address {
             return false;
         }
-        let newer = match self.members.get(&news.instance.address) {
+        let newer = match self.members.get(&update.instance.address) {
             None => true,
-            Some(entry) if entry.member.instance == news.instance => news.overrides(&entry.member),
-            Some(entry) => news.instance.start > entry.member.instance.start,
+            Some(entry) if entry.member.instance == update.instance => {
+                update.overrides(&entry.member)
+            }
+            Some(entry) => update.instance.start > entry.member.instance.start,
         };
         if newer {
-            self.insert(now, news);
+            self.insert(now, update);
         }
         newer
     }
 
-    /// Takes news of several members; returns whether it changed the view.
-    pub fn merge_all(&mut self, now: Instant, news: impl Iterator<Item = Member>) -> bool {
+    /// Merges updates of several members; returns whether any changed the view.
+    pub fn merge_all(&mut self, now: Instant, updates: impl Iterator<Item = Member>) -> bool {
         let mut changed = false;
-        for member in news {
+        for member in updates {
             changed |= self.merge(now, member);
         }
         changed
     }
 
-    /// Takes what a neighbour answered to what it was told up to the change
-    /// `sent`; returns up to which change it knows the view now.
+    /// Merges a neighbour's reply to the changes up to `sent`; returns the change
+    /// up to which the neighbour now knows this view.
     pub fn merge_reply(
         &mut self,
         now: Instant,
-        news: impl Iterator<Item = Member>,
+        updates: impl Iterator<Item = Member>,
         sent: ChangeCount,
     ) -> ChangeCount {
         let nothing_else = self.change == sent;
-        self.merge_all(now, news);
+        self.merge_all(now, updates);
         if nothing_else { self.change } else { sent }
     }
 
-    fn refute(&mut self, now: Instant, news: &Member) -> bool {
-        if !news.overrides(&self.own) {
+    /// Overrides an update about this daemon that it did not send itself.
+    fn refute(&mut self, now: Instant, update: &Member) -> bool {
+        if !update.overrides(&self.own) {
             return false;
         }
-        self.own.incarnation = Incarnation(news.incarnation.0 + 1);
+        self.own.incarnation = Incarnation(update.incarnation.0 + 1);
         let own = self.own.clone();
         self.insert(now, own);
         true
     }
 
-    /// Takes note that the watched member `instance` is not heard from.
+    /// Marks the watched member `instance` as silent; returns whether it changed.
     pub fn mark_silent(&mut self, now: Instant, instance: Instance) -> bool {
         let Some(entry) = self.members.get(&instance.address) else {
             return false;
@@ -144,15 +147,15 @@
         if member.instance != instance || member.state >= MemberState::Silent {
             return false;
         }
-        let mut news = member.clone();
-        news.state = MemberState::Silent;
-        self.insert(now, news);
+        let mut update = member.clone();
+        update.state = MemberState::Silent;
+        self.insert(now, update);
         true
     }
 
     fn insert(&mut self, now: Instant, member: Member) {
         let address = member.instance.address;
-        let ended = (member.state == MemberState::Left).then_some(now);
+        let left_at = (member.state == MemberState::Left).then_some(now);
         self.remove(address);
         self.digest ^= digest_of(&member);
         self.change = ChangeCount(self.change.0 + 1);
@@ -163,7 +166,7 @@
         let entry = MemberEntry {
             member,
             change: self.change,
-            ended,
+            left_at,
         };
         self.members.insert(address, entry);
     }
@@ -177,35 +180,36 @@
         self.running.remove(&old.member.centre, old.member.instance);
     }
 
-    /// Forgets members that stopped long ago.
+    /// Removes members that stopped long ago.
     pub fn forget(&mut self, now: Instant) {
         let is_old = |at: Instant| now.saturating_duration_since(at) > LEFT_RETENTION;
-        let ended = self
+        let left = self
             .members
             .iter()
-            .filter(|(_, entry)| entry.ended.is_some_and(is_old));
-        let old: Vec<SocketAddr> = ended.map(|(address, _)| *address).collect();
+            .filter(|(_, entry)| entry.left_at.is_some_and(is_old));
+        let old: Vec<SocketAddr> = left.map(|(address, _)| *address).collect();
         for address in old {
             self.remove(address);
         }
     }
 
-    /// Returns a digest that is equal for equal views.
+    /// Returns a digest of the view; equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns the count of changes so far.
+    /// Returns the number of changes so far.
     pub fn change(&self) -> ChangeCount {
         self.change
     }
 
-    /// Returns the members changed after `since`, `most` of them at most, but for
-    /// those that the other side has `told` just so. Two daemons that tell each
-    /// other their whole views, as after a start, send most entries once in place
-    /// of twice.
-    pub fn page(&self, since: ChangeCount, most: usize, told: &[Member]) -> Page {
-        let told: HashMap<Instance, &Member> = told.iter().map(|m| (m.instance, m)).collect();
+    /// Returns up to `limit` members changed after `since`, except those that are
+    /// equal in `known`, which the other side has just sent.
+    ///
+    /// When two daemons exchange their whole views, as after a start, most entries
+    /// are sent once instead of twice.
+    pub fn page(&self, since: ChangeCount, limit: usize, known: &[Member]) -> Page {
+        let known: HashMap<Instance, &Member> = known.iter().map(|m| (m.instance, m)).collect();
         let mut page = Page {
             members: Vec::new(),
             change: self.change,
@@ -215,10 +219,10 @@
             let Some(member) = self.at(*address) else {
                 continue;
             };
-            if told.get(&member.instance) == Some(&member) {
+            if known.get(&member.instance) == Some(&member) {
                 continue;
             }
-            if page.members.len() == most {
+            if page.members.len() == limit {
                 page.change = ChangeCount(change.0 - 1);
                 break;
             }
@@ -227,7 +231,7 @@
         page
     }
 
-    /// Returns all members, this daemon among them.
+    /// Returns all members, including this daemon.
     pub fn members(&self) -> impl ExactSizeIterator<Item = &Member> {
         self.members.values().map(|entry| &entry.member)
     }
@@ -237,7 +241,7 @@
         self.members.get(&address).map(|entry| &entry.member)
     }
 
-    /// Returns the members of a service that take calls.
+    /// Returns the members of a service that accept calls.
     pub fn serving<'a>(
         &'a self,
         service: &'a ServiceName,
