--- a/src/policy/member/presence.rs
+++ b/src/policy/member/presence.rs
@@ -6,7 +6,7 @@
 
 /// Number of ended runs to remember, so that late announcements of them are
 /// recognized as stale. A VM sees a few runs a day.
-const MAX_GONE: usize = 64;
+const MAX_RETIRED: usize = 64;
 
 /// Whether a backend server accepts calls, by its announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     present: Option<Present>,
-    gone: VecDeque<Run>,
+    retired: VecDeque<Run>,
 }
 
 impl Presence {
@@ -104,7 +104,7 @@
     /// answers or because it has departed.
     pub fn is_leaving(&self) -> bool {
         let mut present = self.present.iter();
-        present.any(|present| present.leaving || self.gone.contains(&present.run))
+        present.any(|present| present.leaving || self.retired.contains(&present.run))
     }
 
     /// Records that an answer of a run reported that it leaves; returns whether
@@ -113,12 +113,12 @@
         let Some(present) = &mut self.present else {
             return false;
         };
-        let is_news = present.run.id() == run && !present.leaving;
-        if is_news {
+        let is_new = present.run.id() == run && !present.leaving;
+        if is_new {
             present.leaving = true;
             present.intent = Intent::Leave;
         }
-        is_news
+        is_new
     }
 
     /// Applies an announcement.
@@ -127,7 +127,7 @@
             server: announcement.server.clone(),
             start: announcement.start,
         };
-        if self.is_gone(&run) {
+        if self.has_ended(&run) {
             return AnnouncementEffect::Stale;
         }
         let last = self.present.as_ref();
@@ -187,7 +187,7 @@
     /// with the id of that one if known.
     pub fn record_mismatch(&mut self, server: &ServerId, found: Option<&ServerId>) {
         if let Some(found) = found {
-            self.gone.retain(|gone| gone.server != *found);
+            self.retired.retain(|retired| retired.server != *found);
         }
         match self
             .present
@@ -204,21 +204,27 @@
     /// Returns whether the present run accepts calls.
     pub fn is_serving(&self) -> bool {
         self.present.as_ref().is_some_and(|present| {
-            present.intent == Intent::Serve && !self.gone.contains(&present.run)
+            present.intent == Intent::Serve && !self.retired.contains(&present.run)
         })
     }
 
     /// Returns whether a run has ended: it was retired, or it is of a server with
     /// a retired run and is not known to have started later.
-    fn is_gone(&self, run: &Run) -> bool {
-        let mut same = self.gone.iter().filter(|gone| gone.server == run.server);
-        same.any(|gone| !run.follows(gone))
+    fn has_ended(&self, run: &Run) -> bool {
+        let mut same = self
+            .retired
+            .iter()
+            .filter(|retired| retired.server == run.server);
+        same.any(|retired| !run.follows(retired))
     }
 
     /// Retires a run that is not present. If its start is unknown, the start of
     /// the present run is used as an upper bound.
     fn retire_unseen(&mut self, run: Run) {
-        let known = self.gone.iter().any(|gone| gone.server == run.server);
+        let known = self
+            .retired
+            .iter()
+            .any(|retired| retired.server == run.server);
         if known && run.start.is_none() {
             return;
         }
@@ -230,12 +236,12 @@
     }
 
     fn retire(&mut self, run: Run) {
-        if self.gone.contains(&run) {
+        if self.retired.contains(&run) {
             return;
         }
-        self.gone.push_back(run);
-        if self.gone.len() > MAX_GONE {
-            self.gone.pop_front();
+        self.retired.push_back(run);
+        if self.retired.len() > MAX_RETIRED {
+            self.retired.pop_front();
         }
     }
 }
--- a/tests/duty.rs
+++ b/tests/duty.rs
@@ -1,10 +1,9 @@
-//! For whom daemons use the platform's store.
+//! The role of daemons at the platform's store.
 //!
-//! The load answered here: a thousand daemons that start at once and run for
-//! days, on a store that is paid by the call and takes some thousands a second.
-//! What callers need of it is a version of the configuration in force within
-//! seconds, which neighbours pass on; so as many calls are made at 1,000 members
-//! of a data centre as at 10.
+//! A thousand daemons may start at once on a store that is billed per call and
+//! handles a few thousand calls per second. Callers only need a new version of
+//! the configuration in force within seconds, which gossip passes on, so the
+//! number of calls must be the same for 1,000 members of a data centre as for 10.
 
 #![allow(missing_docs)]
 
@@ -17,7 +16,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Daemons that act for their data centre, by what the page on capacity states.
+/// Delegates per data centre, as stated on the page on capacity.
 const DELEGATES: usize = 4;
 
 fn member(number: usize, centre: &str) -> Member {
@@ -32,8 +31,8 @@
     }
 }
 
-/// Returns the view of the member `own` of an estate of `members` in `centres`
-/// data centres.
+/// Returns the view of member `own` in an estate of `members` in `centres` data
+/// centres.
 fn view(own: usize, members: usize, centres: usize) -> View {
     let now = Instant::now();
     let of = |number: usize| member(number, &format!("dc-{}", number % centres));
@@ -50,7 +49,7 @@
 #[case::ten(10)]
 #[case::hundred(100)]
 #[case::thousand(1000)]
-fn is_delegate_for_as_many_whatever_the_size(#[case] members: usize) {
+fn is_delegate_for_the_same_number_at_any_size(#[case] members: usize) {
     let all = (0..members).filter(|own| is_delegate(&view(*own, members, 1)));
     assert_eq!(all.count(), DELEGATES);
 }
@@ -67,7 +66,7 @@
 }
 
 #[test]
-fn is_delegate_passes_to_another_when_one_falls_silent() {
+fn is_delegate_moves_to_another_when_one_is_silent() {
     let now = Instant::now();
     let is = |own: usize, silent: Option<usize>| {
         let mut view = view(own, 50, 1);
@@ -84,7 +83,7 @@
 #[rstest]
 #[case::small(13)]
 #[case::large(1000)]
-fn read_chance_lets_as_many_read_at_a_time(#[case] members: usize) {
+fn read_probability_gives_the_same_number_of_readers(#[case] members: usize) {
     let readers: f64 = (0..members)
         .map(|own| read_probability(&view(own, members, 1)))
         .sum();
@@ -95,45 +94,45 @@
 }
 
 #[test]
-fn decide_of_a_daemon_that_nobody_answers_asks_for_itself_after_its_patience() {
+fn decide_without_answers_is_isolated_after_its_patience() {
     let start = Instant::now();
-    let mut term = RoleTracker::new(start, ms(300));
-    assert_eq!(term.decide(start + ms(250), true), StoreRole::None);
-    assert_eq!(term.decide(start + ms(300), true), StoreRole::Isolated);
+    let mut tracker = RoleTracker::new(start, ms(300));
+    assert_eq!(tracker.decide(start + ms(250), true), StoreRole::None);
+    assert_eq!(tracker.decide(start + ms(300), true), StoreRole::Isolated);
 }
 
 #[test]
-fn decide_of_a_daemon_that_is_answered_leaves_the_store_to_others() {
+fn decide_with_answers_leaves_the_store_to_others() {
     let start = Instant::now();
-    let mut term = RoleTracker::new(start, ms(300));
-    term.record_answer(start + ms(20));
+    let mut tracker = RoleTracker::new(start, ms(300));
+    tracker.record_answer(start + ms(20));
     for at in (250..3000).step_by(250) {
-        term.record_answer(start + ms(at));
-        assert_eq!(term.decide(start + ms(at), false), StoreRole::None);
+        tracker.record_answer(start + ms(at));
+        assert_eq!(tracker.decide(start + ms(at), false), StoreRole::None);
     }
 }
 
-/// In a start of all views fill up: many come first for a moment.
+/// When all daemons start at once, many rank first briefly while views fill up.
 #[test]
-fn decide_waits_until_its_place_has_settled() {
+fn decide_waits_until_the_rank_has_settled() {
     let start = Instant::now();
-    let mut term = RoleTracker::new(start, ms(300));
-    term.record_answer(start);
-    assert_eq!(term.decide(start, true), StoreRole::None);
-    assert_eq!(term.decide(start + ms(500), false), StoreRole::None);
-    term.record_answer(start + ms(750));
-    assert_eq!(term.decide(start + ms(750), true), StoreRole::None);
-    term.record_answer(start + ms(1750));
-    assert_eq!(term.decide(start + ms(1750), true), StoreRole::Delegate);
+    let mut tracker = RoleTracker::new(start, ms(300));
+    tracker.record_answer(start);
+    assert_eq!(tracker.decide(start, true), StoreRole::None);
+    assert_eq!(tracker.decide(start + ms(500), false), StoreRole::None);
+    tracker.record_answer(start + ms(750));
+    assert_eq!(tracker.decide(start + ms(750), true), StoreRole::None);
+    tracker.record_answer(start + ms(1750));
+    assert_eq!(tracker.decide(start + ms(1750), true), StoreRole::Delegate);
 }
 
 #[test]
-fn decide_goes_on_until_the_next_one_has_settled() {
+fn decide_remains_delegate_until_the_replacement_has_settled() {
     let start = Instant::now();
-    let mut term = RoleTracker::new(start, ms(0));
+    let mut tracker = RoleTracker::new(start, ms(0));
     let mut at = |after: u64, first: bool| {
-        term.record_answer(start + ms(after));
-        term.decide(start + ms(after), first)
+        tracker.record_answer(start + ms(after));
+        tracker.decide(start + ms(after), first)
     };
     at(0, true);
     assert_eq!(at(1000, true), StoreRole::Delegate);
@@ -141,20 +140,20 @@
     assert_eq!(at(4250, false), StoreRole::None);
 }
 
-/// A daemon that is cut off from all others and not from the store.
+/// A daemon that can reach the store but no other daemon.
 #[test]
-fn decide_of_a_daemon_that_is_cut_off_asks_for_itself() {
+fn decide_is_isolated_when_answers_stop() {
     let start = Instant::now();
-    let mut term = RoleTracker::new(start, ms(300));
-    term.record_answer(start);
-    assert_eq!(term.decide(start + ms(1500), false), StoreRole::None);
-    assert_eq!(term.decide(start + ms(1750), false), StoreRole::Isolated);
-    term.record_answer(start + ms(4000));
-    assert_eq!(term.decide(start + ms(4000), false), StoreRole::None);
+    let mut tracker = RoleTracker::new(start, ms(300));
+    tracker.record_answer(start);
+    assert_eq!(tracker.decide(start + ms(1500), false), StoreRole::None);
+    assert_eq!(tracker.decide(start + ms(1750), false), StoreRole::Isolated);
+    tracker.record_answer(start + ms(4000));
+    assert_eq!(tracker.decide(start + ms(4000), false), StoreRole::None);
 }
 
-/// News that one member has reaches all others, over links whose number doesn't
-/// grow with the estate, in few steps.
+/// An update at one member reaches all others in few steps, with a number of
+/// neighbours that does not grow with the estate.
 #[rstest]
 #[case::thirty(30, 3, 8)]
 #[case::thousand(1000, 5, 16)]
--- a/tests/fault_matrix/fault.rs
+++ b/tests/fault_matrix/fault.rs
@@ -1,40 +1,40 @@
-//! The faults.
+//! The faults that can be injected.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Steps among which random schedules place their faults.
-const STEPS: usize = 400;
+/// Random schedules place their faults before this step.
+const MAX_STEP: usize = 400;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A VM ends at once, and is replaced at the same address later.
+    /// A VM crashes and is replaced at the same address later.
     Crash(usize),
-    /// A VM stands still past its lease and wakes unaware.
+    /// A VM is paused beyond its lease and resumes without noticing.
     Pause(usize),
-    /// A planned stop.
+    /// A VM is stopped as planned.
     Stop(usize),
-    /// A node is cut off from another one.
+    /// Two nodes cannot reach each other.
     CutPeers(usize, usize),
-    /// A node is cut off from all others.
+    /// A node cannot reach any other node.
     CutAll(usize),
-    /// A node is cut off from the platform.
+    /// A node cannot reach the platform.
     CutPlatform(usize),
-    /// The platform is down for a while.
+    /// The platform is temporarily down.
     PlatformDown,
-    /// The platform's answers to writes are lost for a while.
+    /// The platform's answers to writes are temporarily lost.
     LoseAnswers,
     /// The next messages are lost.
     LoseMessages,
-    /// The next messages come late and out of order.
-    Late,
-    /// The next messages come twice.
-    Double,
-    /// Guards shed for a while.
+    /// The next messages are delayed and reordered.
+    DelayMessages,
+    /// The next messages are delivered twice.
+    DuplicateMessages,
+    /// Guards temporarily shed calls.
     Overload,
-    /// Entries send once calls to instances at random.
+    /// Entries send once calls to random instances.
     Misroute,
-    /// Two operators change the configuration at the same moment.
+    /// Two operators change the configuration at the same time.
     TwoOperators,
 }
 
@@ -55,21 +55,21 @@
         Self::PlatformDown,
         Self::LoseAnswers,
         Self::LoseMessages,
-        Self::Late,
-        Self::Double,
+        Self::DelayMessages,
+        Self::DuplicateMessages,
         Self::Overload,
         Self::Misroute,
         Self::TwoOperators,
     ];
 
-    /// Draws a schedule of one to six faults.
+    /// Generates a random schedule of one to six faults.
     pub(crate) fn schedule(seed: u64) -> Vec<(usize, Self)> {
         let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
         let count = rng.random_range(1..=6);
         let mut faults: Vec<_> = (0..count)
             .map(|_| {
                 let fault = Self::ALL[rng.random_range(0..Self::ALL.len())];
-                (rng.random_range(0..STEPS), fault)
+                (rng.random_range(0..MAX_STEP), fault)
             })
             .collect();
         faults.sort_by_key(|(step, _)| *step);
--- a/tests/fault_matrix/main.rs
+++ b/tests/fault_matrix/main.rs
@@ -1,9 +1,9 @@
-//! Every fault at every step of the once, configuration and membership
-//! protocols, and random schedules of them, on the real decision code.
+//! Injects every fault at every step of the once, configuration and membership
+//! protocols, and random schedules of faults, into the real decision code.
 //!
-//! The steps are those that a run without faults takes, counted as it runs, so
-//! that a step added later is covered as it is. `FAULT_SCHEDULES=100000` makes
-//! the random part longer; a failure prints the seed that brings it about.
+//! The number of steps is counted in a run without faults, so that added steps
+//! are covered automatically. `FAULT_SCHEDULES=100000` runs more random
+//! schedules; a failure prints the seed that reproduces it.
 
 #![allow(missing_docs)]
 
@@ -15,10 +15,10 @@
 use rstest::rstest;
 use world::{Keys, World};
 
-/// Random schedules in a usual run.
+/// Default number of random schedules.
 const SCHEDULES: u64 = 10_000;
 
-/// Runs one case and returns the promises that it broke.
+/// Runs one case and returns its number of steps and the violations found.
 fn case(seed: u64, keys: Keys, faults: &[(usize, Fault)]) -> (usize, Vec<String>) {
     let mut world = World::new(seed, keys);
     world.inject(faults);
--- a/tests/fault_matrix/platform.rs
+++ b/tests/fault_matrix/platform.rs
@@ -1,5 +1,4 @@
-//! A table whose answers are there at once, reached by nodes that may be cut
-//! off from it.
+//! An in-memory table store that answers immediately and may fail.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,8 +9,8 @@
 use futures_util::future::BoxFuture;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mood {
-    Well,
+pub(crate) enum TableMode {
+    Healthy,
     Down,
     LoseAnswers,
 }
@@ -20,31 +19,31 @@
 struct State {
     rows: BTreeMap<String, (u64, Bytes)>,
     down: bool,
-    lose: bool,
+    lose_answers: bool,
 }
 
-/// Used by one thread only; the lock is there for the trait's bounds.
+/// The table; used by one thread only, the lock satisfies the trait's bounds.
 #[derive(Default)]
 pub(crate) struct Table {
     state: std::sync::Mutex<RefCell<State>>,
 }
 
 impl Table {
-    pub(crate) fn mood(&self, mood: Mood) {
+    pub(crate) fn set_mode(&self, mode: TableMode) {
         let state = self.state.lock().expect("one thread");
         let mut state = state.borrow_mut();
-        state.down = mood == Mood::Down;
-        state.lose = mood == Mood::LoseAnswers;
+        state.down = mode == TableMode::Down;
+        state.lose_answers = mode == TableMode::LoseAnswers;
     }
 
-    fn with<T>(&self, use_it: impl FnOnce(&mut State) -> T) -> T {
+    fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
         let state = self.state.lock().expect("one thread");
         let mut state = state.borrow_mut();
-        use_it(&mut state)
+        action(&mut state)
     }
 }
 
-/// Runs a future of this table, which never waits.
+/// Returns the output of a future of this table, which is always ready.
 pub(crate) fn now<T>(future: impl Future<Output = T>) -> T {
     future.now_or_never().expect("the table never waits")
 }
@@ -59,7 +58,7 @@
 
 impl TableStore for Table {
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, ReadError>> {
-        let result = self.with(|state| {
+        let result = self.with_state(|state| {
             if state.down {
                 Err(ReadError("down".into()))
             } else {
@@ -75,7 +74,7 @@
         condition: Condition,
         content: Bytes,
     ) -> BoxFuture<'a, Result<Revision, WriteError>> {
-        let result = self.with(|state| {
+        let result = self.with_state(|state| {
             if state.down {
                 return Err(WriteError::NotSent("down".into()));
             }
@@ -86,7 +85,7 @@
                 _ => return Err(WriteError::Conflict(found)),
             };
             state.rows.insert(key.into(), (next, content));
-            if state.lose {
+            if state.lose_answers {
                 return Err(WriteError::Unknown("lost".into()));
             }
             Ok(Revision(next))
--- a/tests/fault_matrix/world/caller.rs
+++ b/tests/fault_matrix/world/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: what they send, take and ask again.
+//! Callers: their attempts and the answers they receive.
 
 use super::*;
 
@@ -12,7 +12,7 @@
         let first = c.attempts == 1 && caller.is_multiple_of(2);
         let node = self.rng.random_range(0..NODES);
         if self.nodes[node].up {
-            self.after(
+            self.schedule(
                 8,
                 Event::Enter {
                     caller,
@@ -21,43 +21,43 @@
                 },
             );
         } else {
-            self.again(caller);
+            self.schedule_retry(caller);
         }
     }
 
-    pub(super) fn again(&mut self, caller: usize) {
+    pub(super) fn schedule_retry(&mut self, caller: usize) {
         if self.callers[caller].attempts < ATTEMPTS {
             let wait = self.rng.random_range(200..8000);
-            self.after(wait, Event::Send(caller));
+            self.schedule(wait, Event::Send(caller));
         }
     }
 
-    pub(super) fn tell(&mut self, caller: usize, result: &Answered) {
+    pub(super) fn deliver(&mut self, caller: usize, result: &CallResult) {
         let key = self.callers[caller].key.clone();
         match result {
-            Ok(kept) => {
-                if kept.body.as_deref() != Some(key.to_string().as_bytes()) {
+            Ok(answer) => {
+                if answer.body.as_deref() != Some(key.to_string().as_bytes()) {
                     self.violations
-                        .push(format!("caller {caller} got another's answer"));
+                        .push(format!("caller {caller} received another caller's answer"));
                 }
                 self.callers[caller].answered = true;
                 self.callers[caller].done = true;
             }
             Err(refusal) => {
                 let verdict = refusal.verdict();
-                self.callers[caller].told = Some(verdict);
+                self.callers[caller].last_verdict = Some(verdict);
                 let ran = self.runs.get(&key).copied().unwrap_or(0) > 0;
                 if verdict == Verdict::NotRun && ran {
                     self.violations.push(format!(
-                        "not-run was said of {key}, which ran: {:?}",
+                        "{key} was reported as not run, but ran: {:?}",
                         refusal.reason()
                     ));
                 }
                 if verdict == Verdict::NotRun && self.rng.random_bool(0.2) {
-                    // This caller takes the word and never asks again.
+                    // This caller accepts the verdict and does not retry.
                     self.callers[caller].done = true;
                 }
-                self.again(caller);
+                self.schedule_retry(caller);
             }
         }
     }
--- a/tests/fault_matrix/world/entry.rs
+++ b/tests/fault_matrix/world/entry.rs
@@ -1,15 +1,15 @@
-//! Entries: where a call goes, and what its answer means.
+//! Entries: the destination of a call and the handling of its answer.
 
 use super::*;
 
 impl World {
     pub(super) fn enter(&mut self, caller: usize, n: usize, first: bool) {
         if !self.nodes[n].up {
-            self.callers[caller].silent = true;
-            return self.again(caller);
+            self.callers[caller].unanswered = true;
+            return self.schedule_retry(caller);
         }
         let key = self.callers[caller].key.clone();
-        let target = match self.place(n, &key) {
+        let target = match self.find_destination(n, &key) {
             Ok(_) if self.misroute => self.nodes[self.rng.random_range(0..NODES)].instance,
             Ok(target) => target,
             Err(refusal) => return self.refuse(caller, first, refusal),
@@ -17,15 +17,15 @@
         let attempt = Attempt::with_id(AttemptId::new(self.rng.random()));
         let id = attempt.id();
         let from = self.nodes[n].instance;
-        self.nodes[n].out.insert(
+        self.nodes[n].pending.insert(
             id,
-            Out {
+            PendingAttempt {
                 attempt: attempt.send(),
                 caller,
                 first,
             },
         );
-        let to = self.address(target);
+        let to = self.node_at(target);
         let event = Event::Call {
             from,
             to: target,
@@ -33,12 +33,12 @@
             key,
         };
         if to == n {
-            self.after(0, event);
+            self.schedule(0, event);
         } else {
             self.message(n, to, event);
         }
-        self.after(
-            DEADLINE,
+        self.schedule(
+            DEADLINE_MS,
             Event::Timeout {
                 at: from,
                 attempt: id,
@@ -46,8 +46,12 @@
         );
     }
 
-    /// Finds where a key must go; reads the row anew if nobody owns the key.
-    pub(super) fn place(&mut self, n: usize, key: &OnceKey) -> Result<Instance, Refusal> {
+    /// Finds the destination of a key; rereads the row if no instance owns the key.
+    pub(super) fn find_destination(
+        &mut self,
+        n: usize,
+        key: &OnceKey,
+    ) -> Result<Instance, Refusal> {
         let find = |node: &Node| {
             destination(
                 key,
@@ -64,7 +68,7 @@
         {
             fresh = true;
             if let Some(row) = row {
-                self.take_row(n, row.revision, &row.content);
+                self.decode_row(n, row.revision, &row.content);
             }
             found = find(&self.nodes[n]);
         }
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Tells a caller of a refusal, weakened as the entry does.
+    /// Delivers a refusal to a caller, with the verdict weakened as the entry does.
     pub(super) fn refuse(&mut self, caller: usize, first: bool, refusal: Refusal) {
         let unsure = !first && refusal.scope() == Scope::Attempt;
         let refusal = refusal.after(if unsure {
@@ -89,16 +93,16 @@
         } else {
             Verdict::NotRun
         });
-        self.tell(caller, &Err(refusal));
+        self.deliver(caller, &Err(refusal));
     }
 
-    pub(super) fn reply(&mut self, to: Instance, attempt: AttemptId, result: Answered) {
-        let Some(n) = self.number(to) else { return };
-        let Some(out) = self.nodes[n].out.remove(&attempt) else {
+    pub(super) fn reply(&mut self, to: Instance, attempt: AttemptId, result: CallResult) {
+        let Some(n) = self.live_node(to) else { return };
+        let Some(out) = self.nodes[n].pending.remove(&attempt) else {
             return;
         };
         match result {
-            Ok(kept) => self.tell(out.caller, &Ok(kept)),
+            Ok(answer) => self.deliver(out.caller, &Ok(answer)),
             Err(r) => {
                 let mut relayed = out
                     .attempt
@@ -112,8 +116,8 @@
     }
 
     pub(super) fn timeout(&mut self, at: Instance, attempt: AttemptId) {
-        let Some(n) = self.number(at) else { return };
-        if let Some(out) = self.nodes[n].out.remove(&attempt) {
+        let Some(n) = self.live_node(at) else { return };
+        if let Some(out) = self.nodes[n].pending.remove(&attempt) {
             let refusal = out.attempt.lose(Reason::Timeout, "");
             self.refuse(out.caller, out.first, refusal);
         }
--- a/tests/fault_matrix/world/guard.rs
+++ b/tests/fault_matrix/world/guard.rs
@@ -1,4 +1,4 @@
-//! Guards: claims, ledgers, runs and words on them.
+//! Guards: claims, ledgers, executions and their answers.
 
 use super::*;
 
@@ -8,25 +8,25 @@
         at: Instance,
         to: Instance,
         attempt: AttemptId,
-        result: Answered,
+        result: CallResult,
     ) {
-        let (from, n) = (self.address(at), self.address(to));
+        let (from, n) = (self.node_at(at), self.node_at(to));
         let event = Event::Reply {
             to,
             attempt,
             result,
         };
         if from == n {
-            self.after(0, event);
+            self.schedule(0, event);
         } else {
             self.message(from, n, event);
         }
     }
 
     pub(super) fn call(&mut self, from: Instance, to: Instance, attempt: AttemptId, key: &OnceKey) {
-        let Some(n) = self.number(to) else {
-            // Another instance at the address refuses what is not meant for it.
-            let n = self.address(to);
+        let Some(n) = self.live_node(to) else {
+            // A new instance at the address refuses calls for its predecessor.
+            let n = self.node_at(to);
             if self.nodes[n].up {
                 let refusal = Attempt::with_id(attempt).refuse(Reason::Replaced, "");
                 self.answer(to, from, attempt, Err(refusal));
@@ -38,7 +38,7 @@
         if let Err(refuse) = check_owner(key, to, own_row) {
             return self.answer(to, from, attempt, Err(planned.refuse_once(refuse)));
         }
-        if self.nodes[n].left_at.is_some() && !self.nodes[n].ledger.has_begun(key) {
+        if self.nodes[n].leaving_since.is_some() && !self.nodes[n].ledger.has_begun(key) {
             let refusal = planned.refuse(Reason::Shed(Shed::Leaving), "");
             return self.answer(to, from, attempt, Err(refusal));
         }
@@ -48,12 +48,12 @@
         match begin {
             OnceDecision::Start | OnceDecision::Resume => {
                 self.nodes[n]
-                    .attached
+                    .waiters
                     .entry(key.clone())
                     .or_default()
                     .push((from, attempt));
                 let resumed = begin == OnceDecision::Resume;
-                self.after(
+                self.schedule(
                     1,
                     Event::Claim {
                         at: to,
@@ -64,12 +64,12 @@
             }
             OnceDecision::Attach => {
                 self.nodes[n]
-                    .attached
+                    .waiters
                     .entry(key.clone())
                     .or_default()
                     .push((from, attempt));
             }
-            OnceDecision::Answer(kept) => self.answer(to, from, attempt, Ok(kept)),
+            OnceDecision::Answer(answer) => self.answer(to, from, attempt, Ok(answer)),
             OnceDecision::Refuse(refuse) => {
                 self.answer(to, from, attempt, Err(planned.refuse_once(refuse)));
             }
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn claim(&mut self, at: Instance, key: &OnceKey, resumed: bool) {
-        let Some(n) = self.number(at) else { return };
+        let Some(n) = self.live_node(at) else { return };
         if let OnceKey::Opaque(_) = key
             && let Err((refuse, keep)) = self.try_claim(n, at, key, resumed)
         {
@@ -96,7 +96,7 @@
                 .of_key();
             return self.answer_all(at, key, &Err(refusal));
         }
-        self.after(
+        self.schedule(
             1,
             Event::Start {
                 at,
@@ -137,13 +137,13 @@
     }
 
     pub(super) fn start(&mut self, at: Instance, key: &OnceKey) {
-        let Some(n) = self.number(at) else { return };
-        if let Some(left) = self.nodes[n].left_at
-            && self.time > left + LEAVE
+        let Some(n) = self.live_node(at) else { return };
+        if let Some(left) = self.nodes[n].leaving_since
+            && self.time > left + LEAVE_MS
             && self.nodes[n].paused_until < left
         {
             self.violations.push(format!(
-                "{key} started {} ms after its node left",
+                "{key} started {} ms after its node began to leave",
                 self.time - left
             ));
         }
@@ -154,7 +154,7 @@
         }
         self.running.insert((at, key.clone()));
         let work = self.rng.random_range(5..60);
-        self.after(
+        self.schedule(
             work,
             Event::Finish {
                 at,
@@ -164,20 +164,20 @@
     }
 
     pub(super) fn finish(&mut self, at: Instance, key: &OnceKey) {
-        let Some(n) = self.number(at) else { return };
+        let Some(n) = self.live_node(at) else { return };
         self.running.remove(&(at, key.clone()));
-        let kept = StoredAnswer {
+        let answer = StoredAnswer {
             status: 200,
             headers: Vec::new(),
             body: Some(key.to_string().into_bytes().into()),
         };
-        self.nodes[n].ledger.finish(key, kept.clone());
-        self.answer_all(at, key, &Ok(kept));
+        self.nodes[n].ledger.finish(key, answer.clone());
+        self.answer_all(at, key, &Ok(answer));
     }
 
-    pub(super) fn answer_all(&mut self, at: Instance, key: &OnceKey, result: &Answered) {
-        let Some(n) = self.number(at) else { return };
-        for (to, attempt) in self.nodes[n].attached.remove(key).unwrap_or_default() {
+    pub(super) fn answer_all(&mut self, at: Instance, key: &OnceKey, result: &CallResult) {
+        let Some(n) = self.live_node(at) else { return };
+        for (to, attempt) in self.nodes[n].waiters.remove(key).unwrap_or_default() {
             self.answer(at, to, attempt, result.clone());
         }
     }
--- a/tests/fault_matrix/world/membership.rs
+++ b/tests/fault_matrix/world/membership.rs
@@ -1,14 +1,14 @@
-//! Home rows, membership and configuration.
+//! Ownership rows, membership and configuration.
 
 use super::*;
 
 impl World {
-    pub(super) fn take_row(&mut self, n: usize, revision: Revision, content: &[u8]) {
-        let row = OwnershipRow::decode(content).expect("a home row");
-        self.keep_row(n, revision, Rc::new(row));
+    pub(super) fn decode_row(&mut self, n: usize, revision: Revision, content: &[u8]) {
+        let row = OwnershipRow::decode(content).expect("an ownership row");
+        self.store_row(n, revision, Rc::new(row));
     }
 
-    pub(super) fn keep_row(&mut self, n: usize, revision: Revision, row: Rc<OwnershipRow>) {
+    pub(super) fn store_row(&mut self, n: usize, revision: Revision, row: Rc<OwnershipRow>) {
         let known = self.nodes[n].row.as_ref().map(|(r, _)| *r);
         if known.is_none_or(|known| known < revision) {
             self.nodes[n].row = Some((revision, row));
@@ -19,8 +19,8 @@
         if !self.nodes[n].up {
             return;
         }
-        self.after(TICK, Event::Tick(n));
-        self.plan_home(n);
+        self.schedule(TICK_MS, Event::Tick(n));
+        self.plan_row(n);
         self.watch(n);
         self.read_config(n);
         let node = &self.nodes[n];
@@ -38,8 +38,8 @@
         }
     }
 
-    pub(super) fn plan_home(&mut self, n: usize) {
-        if self.platform_cuts.contains(&n) || self.nodes[n].left_at.is_some() {
+    pub(super) fn plan_row(&mut self, n: usize) {
+        if self.platform_cuts.contains(&n) || self.nodes[n].leaving_since.is_some() {
             return;
         }
         let live: Vec<Instance> = self.nodes[n]
@@ -60,24 +60,26 @@
             return;
         };
         if !row.allows(&next, self.nodes[n].instance) {
-            self.violations.push("a plan takes a promise back".into());
+            self.violations
+                .push("a plan revokes the interval of another instance".into());
         }
         let condition = known.map_or(Condition::Absent, |(revision, _)| {
             Condition::Revision(revision)
         });
         match now(settle(&self.table, "home", condition, next.encode().into())) {
             Settled::Written(revision) => self.nodes[n].row = Some((revision, Rc::new(next))),
-            Settled::Lost(Some(found)) => self.take_row(n, found.revision, &found.content),
+            Settled::Lost(Some(found)) => self.decode_row(n, found.revision, &found.content),
             _ => {}
         }
     }
 
-    /// Calls a neighbour silent that could not answer.
+    /// Marks the next node as silent if it cannot answer.
     pub(super) fn watch(&mut self, n: usize) {
         let next = (n + 1) % NODES;
         let other = &self.nodes[next];
-        let unheard = !other.up || other.paused_until > self.time || self.cuts.contains(&(n, next));
-        if unheard {
+        let unreachable =
+            !other.up || other.paused_until > self.time || self.cuts.contains(&(n, next));
+        if unreachable {
             let known = self.nodes[n]
                 .view
                 .at(other.instance.address)
@@ -104,19 +106,19 @@
             self.nodes[to].view.merge(at, member);
         }
         if let Some((revision, row)) = row {
-            self.keep_row(to, revision, row);
+            self.store_row(to, revision, row);
         }
-        self.take_version(to, version);
+        self.learn_version(to, version);
     }
 
-    pub(super) fn take_version(&mut self, n: usize, version: Version) {
+    pub(super) fn learn_version(&mut self, n: usize, version: Version) {
         let before = self.nodes[n].rollout.current();
         if self.nodes[n].rollout.decide(version) == VersionDecision::Apply {
             self.nodes[n].rollout.advance(version);
         }
         if self.nodes[n].rollout.current() < before {
             self.violations
-                .push(format!("node {n} went back from version {before}"));
+                .push(format!("node {n} reverted from version {before}"));
         }
     }
 
@@ -126,7 +128,7 @@
         }
         if let Ok(Some(row)) = now(self.table.read("config")) {
             let (version, _) = config(&row.content);
-            self.take_version(n, version);
+            self.learn_version(n, version);
         }
     }
 
@@ -153,8 +155,8 @@
             Settled::Written(_) => self.accept(n, version, change),
             Settled::Unsettled(_) => {
                 self.unsettled.push((n, change, base));
-                self.after(
-                    OUTAGE + 1000,
+                self.schedule(
+                    OUTAGE_MS + 1000,
                     Event::Apply {
                         node: n,
                         change,
@@ -176,6 +178,6 @@
                 .push(format!("version {version} was accepted twice"));
         }
         self.accepted.push((version, change));
-        self.take_version(n, version);
+        self.learn_version(n, version);
     }
 }
--- a/tests/fault_matrix/world/mod.rs
+++ b/tests/fault_matrix/world/mod.rs
@@ -1,4 +1,4 @@
-//! Three nodes, a table, callers and operators in emulated time.
+//! A simulation of three nodes, the store, callers and operators.
 
 mod caller;
 mod entry;
@@ -32,26 +32,26 @@
 use uuid::{NoContext, Timestamp, Uuid};
 
 use super::fault::Fault;
-use super::platform::{Mood, Table, now};
+use super::platform::{Table, TableMode, now};
 
 const NODES: usize = 3;
 const CALLERS: usize = 6;
-/// Attempts that a caller makes with one key.
+/// Maximum attempts of a caller with one key.
 const ATTEMPTS: u32 = 8;
-/// Times in milliseconds.
-const END: u64 = 45_000;
-const HEALED: u64 = 30_000;
-const DEADLINE: u64 = 400;
-const OUTAGE: u64 = 6000;
-const PAUSE: u64 = 9000;
-const TICK: u64 = 1000;
-/// Time that is left after the last fault.
-const SETTLE: u64 = 25_000;
+/// When a run ends, unless a late fault extends it.
+const END_MS: u64 = 45_000;
+const HEAL_MS: u64 = 30_000;
+const DEADLINE_MS: u64 = 400;
+const OUTAGE_MS: u64 = 6000;
+const PAUSE_MS: u64 = 9000;
+const TICK_MS: u64 = 1000;
+/// Minimum time from the last fault to the end of a run.
+const SETTLE_MS: u64 = 25_000;
 const HORIZON_MS: u64 = 5000;
 /// Unix time at the start of a run.
-const EPOCH: u64 = 1_800_000_000_000;
-/// No new work may start this long after a node said that it leaves.
-const LEAVE: u64 = 2000;
+const EPOCH_MS: u64 = 1_800_000_000_000;
+/// How long after a node began to leave it may still start calls.
+const LEAVE_MS: u64 = 2000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Keys {
@@ -61,7 +61,7 @@
     Mixed,
 }
 
-type Answered = Result<StoredAnswer, Refusal>;
+type CallResult = Result<StoredAnswer, Refusal>;
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -93,7 +93,7 @@
     Reply {
         to: Instance,
         attempt: AttemptId,
-        result: Answered,
+        result: CallResult,
     },
     Timeout {
         at: Instance,
@@ -120,8 +120,8 @@
     },
 }
 
-/// An attempt that an entry waits for.
-struct Out {
+/// An attempt that an entry awaits the answer of.
+struct PendingAttempt {
     attempt: Attempt<Sent>,
     caller: usize,
     first: bool,
@@ -132,20 +132,20 @@
     view: View,
     row: Option<(Revision, Rc<OwnershipRow>)>,
     ledger: Ledger,
-    attached: HashMap<OnceKey, Vec<(Instance, AttemptId)>>,
-    out: HashMap<AttemptId, Out>,
+    waiters: HashMap<OnceKey, Vec<(Instance, AttemptId)>>,
+    pending: HashMap<AttemptId, PendingAttempt>,
     rollout: Rollout,
     up: bool,
     paused_until: u64,
-    left_at: Option<u64>,
+    leaving_since: Option<u64>,
 }
 
 struct Caller {
     key: OnceKey,
     attempts: u32,
-    /// Whether an attempt ended without a word, so that it may still be out.
-    silent: bool,
-    told: Option<Verdict>,
+    /// Whether an attempt ended without an answer, so that it may still run.
+    unanswered: bool,
+    last_verdict: Option<Verdict>,
     answered: bool,
     done: bool,
 }
@@ -162,9 +162,9 @@
     running: HashSet<(Instance, OnceKey)>,
     cuts: HashSet<(usize, usize)>,
     platform_cuts: HashSet<usize>,
-    lose: u32,
-    late: u32,
-    double: u32,
+    lose_count: u32,
+    delay_count: u32,
+    duplicate_count: u32,
     shedding: bool,
     misroute: bool,
     faults: Vec<(usize, Fault)>,
@@ -173,12 +173,12 @@
     accepted: Vec<(Version, u64)>,
     unsettled: Vec<(usize, u64, Version)>,
     violations: Vec<String>,
-    base: Instant,
+    start: Instant,
 }
 
 impl World {
     pub(crate) fn new(seed: u64, keys: Keys) -> Self {
-        let base = Instant::now();
+        let start = Instant::now();
         let mut world = Self {
             rng: SmallRng::seed_from_u64(seed),
             time: 0,
@@ -191,25 +191,25 @@
             running: HashSet::new(),
             cuts: HashSet::new(),
             platform_cuts: HashSet::new(),
-            lose: 0,
-            late: 0,
-            double: 0,
+            lose_count: 0,
+            delay_count: 0,
+            duplicate_count: 0,
             shedding: false,
             misroute: false,
             faults: Vec::new(),
             steps: 0,
-            end: END,
+            end: END_MS,
             accepted: Vec::new(),
             unsettled: Vec::new(),
             violations: Vec::new(),
-            base,
+            start,
         };
         for number in 0..NODES {
             let node = world.node(number, 1);
             world.nodes.push(node);
         }
         for number in 0..NODES {
-            world.after(number as u64 * 7, Event::Tick(number));
+            world.schedule(number as u64 * 7, Event::Tick(number));
         }
         for number in 0..CALLERS {
             let at = 3000 + number as u64 * 900 + world.rng.random_range(0..200);
@@ -217,14 +217,14 @@
             world.callers.push(Caller {
                 key,
                 attempts: 0,
-                silent: false,
-                told: None,
+                unanswered: false,
+                last_verdict: None,
                 answered: false,
                 done: false,
             });
-            world.after(at, Event::Send(number));
+            world.schedule(at, Event::Send(number));
         }
-        world.after(
+        world.schedule(
             2500,
             Event::Apply {
                 node: 0,
@@ -232,7 +232,7 @@
                 base: Version::NONE,
             },
         );
-        world.after(HEALED, Event::Heal);
+        world.schedule(HEAL_MS, Event::Heal);
         world
     }
 
@@ -240,7 +240,7 @@
         let address = format!("10.0.0.{}:1", number + 1)
             .parse()
             .expect("an address");
-        let instance = Instance::new(address, StartStamp::new(EPOCH + start, number as u32));
+        let instance = Instance::new(address, StartStamp::new(EPOCH_MS + start, number as u32));
         let own = Member {
             instance,
             centre: format!("centre-{number}").parse().expect("a name"),
@@ -258,12 +258,12 @@
             view: View::new(self.instant(), own),
             row: None,
             ledger: Ledger::new(limits),
-            attached: HashMap::new(),
-            out: HashMap::new(),
+            waiters: HashMap::new(),
+            pending: HashMap::new(),
             rollout: Rollout::default(),
             up: true,
             paused_until: 0,
-            left_at: None,
+            leaving_since: None,
         }
     }
 
@@ -272,7 +272,7 @@
             Keys::Mixed => [Keys::Dated, Keys::Ticket, Keys::Opaque][number % 3],
             other => other,
         };
-        let unix = EPOCH + at;
+        let unix = EPOCH_MS + at;
         let time = Timestamp::from_unix(NoContext, unix / 1000, (unix % 1000) as u32 * 1_000_000);
         match kind {
             Keys::Ticket => OnceKey::Ticket {
@@ -293,14 +293,14 @@
     }
 
     fn instant(&self) -> Instant {
-        self.base + Duration::from_millis(self.time)
+        self.start + Duration::from_millis(self.time)
     }
 
     fn mint(&self) -> MintTime {
-        MintTime::from_millis(EPOCH + self.time)
+        MintTime::from_millis(EPOCH_MS + self.time)
     }
 
-    fn after(&mut self, ms: u64, event: Event) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.time + ms, self.sequence), event);
     }
@@ -327,17 +327,17 @@
     }
 
     fn fault(&mut self, fault: Fault) {
-        self.end = self.end.max(self.time + SETTLE);
+        self.end = self.end.max(self.time + SETTLE_MS);
         match fault {
             Fault::Crash(n) => self.crash(n),
             Fault::Pause(n) => {
-                let until = self.time + PAUSE;
+                let until = self.time + PAUSE_MS;
                 self.nodes[n].paused_until = until;
-                self.after(PAUSE, Event::Wake);
+                self.schedule(PAUSE_MS, Event::Wake);
             }
             Fault::Stop(n) => {
                 let at = self.nodes[n].instance;
-                self.after(0, Event::StopStep { at, step: 0 });
+                self.schedule(0, Event::StopStep { at, step: 0 });
             }
             Fault::CutPeers(a, b) => {
                 self.cuts.insert((a, b));
@@ -352,16 +352,16 @@
             Fault::CutPlatform(n) => {
                 self.platform_cuts.insert(n);
             }
-            Fault::PlatformDown => self.table.mood(Mood::Down),
-            Fault::LoseAnswers => self.table.mood(Mood::LoseAnswers),
-            Fault::LoseMessages => self.lose = 4,
-            Fault::Late => self.late = 4,
-            Fault::Double => self.double = 4,
+            Fault::PlatformDown => self.table.set_mode(TableMode::Down),
+            Fault::LoseAnswers => self.table.set_mode(TableMode::LoseAnswers),
+            Fault::LoseMessages => self.lose_count = 4,
+            Fault::DelayMessages => self.delay_count = 4,
+            Fault::DuplicateMessages => self.duplicate_count = 4,
             Fault::Overload => self.shedding = true,
             Fault::Misroute => self.misroute = true,
             Fault::TwoOperators => {
                 let base = self.accepted.last().map_or(Version::NONE, |(v, _)| *v);
-                self.after(
+                self.schedule(
                     0,
                     Event::Apply {
                         node: 1,
@@ -369,7 +369,7 @@
                         base,
                     },
                 );
-                self.after(
+                self.schedule(
                     0,
                     Event::Apply {
                         node: 2,
@@ -380,7 +380,7 @@
             }
         }
         if !matches!(fault, Fault::Crash(_) | Fault::Pause(_) | Fault::Stop(_)) {
-            self.after(OUTAGE, Event::Heal);
+            self.schedule(OUTAGE_MS, Event::Heal);
         }
     }
 
@@ -391,42 +391,42 @@
         }
         node.up = false;
         let instance = node.instance;
-        let out = std::mem::take(&mut node.out);
+        let out = std::mem::take(&mut node.pending);
         self.running.retain(|(at, _)| *at != instance);
-        for (_, gone) in out {
-            // The caller sees its connection end without a word.
-            self.callers[gone.caller].silent = true;
-            self.again(gone.caller);
+        for (_, pending) in out {
+            // The caller's connection is closed without an answer.
+            self.callers[pending.caller].unanswered = true;
+            self.schedule_retry(pending.caller);
         }
-        self.after(5000, Event::Replace(n));
+        self.schedule(5000, Event::Replace(n));
     }
 
-    fn number(&self, instance: Instance) -> Option<usize> {
+    fn live_node(&self, instance: Instance) -> Option<usize> {
         self.nodes
             .iter()
             .position(|n| n.up && n.instance == instance)
     }
 
-    fn address(&self, instance: Instance) -> usize {
+    fn node_at(&self, instance: Instance) -> usize {
         self.nodes
             .iter()
             .position(|n| n.instance.address == instance.address)
             .expect("a known address")
     }
 
-    /// Defers what happens at a node that stands still.
-    fn owner_of(&self, event: &Event) -> Option<usize> {
+    /// Returns the node that handles an event; a pause of it defers the event.
+    fn affected_node(&self, event: &Event) -> Option<usize> {
         match event {
             Event::Enter { node, .. } | Event::Tick(node) | Event::Apply { node, .. } => {
                 Some(*node)
             }
             Event::Gossip { to, .. } => Some(*to),
-            Event::Call { to, .. } | Event::Reply { to, .. } => self.number(*to),
+            Event::Call { to, .. } | Event::Reply { to, .. } => self.live_node(*to),
             Event::Claim { at, .. }
             | Event::Start { at, .. }
             | Event::Timeout { at, .. }
-            | Event::StopStep { at, .. } => self.number(*at),
-            // The backend server goes on while its daemon stands still.
+            | Event::StopStep { at, .. } => self.live_node(*at),
+            // The backend server continues while its daemon is paused.
             Event::Finish { .. }
             | Event::Send(_)
             | Event::Wake
@@ -436,10 +436,10 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(n) = self.owner_of(&event) {
+        if let Some(n) = self.affected_node(&event) {
             let wait = self.nodes[n].paused_until.saturating_sub(self.time);
             if wait > 0 {
-                return self.after(wait, event);
+                return self.schedule(wait, event);
             }
         }
         match event {
@@ -476,7 +476,7 @@
             Event::Replace(n) => {
                 let stamp = self.time + 1;
                 self.nodes[n] = self.node(n, stamp);
-                self.after(10, Event::Tick(n));
+                self.schedule(10, Event::Tick(n));
             }
             Event::Heal => self.heal(),
             Event::Apply { node, change, base } => self.apply(node, change, base),
@@ -486,7 +486,7 @@
     fn heal(&mut self) {
         self.cuts.clear();
         self.platform_cuts.clear();
-        self.table.mood(Mood::Well);
+        self.table.set_mode(TableMode::Healthy);
         self.shedding = false;
         self.misroute = false;
     }
@@ -496,21 +496,21 @@
         if self.cuts.contains(&(from, to)) {
             return;
         }
-        if self.lose > 0 {
-            self.lose -= 1;
+        if self.lose_count > 0 {
+            self.lose_count -= 1;
             return;
         }
         let mut delay = 1 + self.rng.random_range(0..3);
-        if self.late > 0 {
-            self.late -= 1;
-            delay += self.rng.random_range(0..2 * DEADLINE);
+        if self.delay_count > 0 {
+            self.delay_count -= 1;
+            delay += self.rng.random_range(0..2 * DEADLINE_MS);
         }
-        if self.double > 0 {
-            self.double -= 1;
-            let again = delay + self.rng.random_range(0..DEADLINE);
-            self.after(again, event.clone());
+        if self.duplicate_count > 0 {
+            self.duplicate_count -= 1;
+            let again = delay + self.rng.random_range(0..DEADLINE_MS);
+            self.schedule(again, event.clone());
         }
-        self.after(delay, event);
+        self.schedule(delay, event);
     }
 }
 
--- a/tests/fault_matrix/world/promise.rs
+++ b/tests/fault_matrix/world/promise.rs
@@ -1,4 +1,4 @@
-//! What must hold in the end.
+//! Invariants checked at the end of a run.
 
 use super::*;
 
@@ -6,10 +6,12 @@
     pub(super) fn check_end(&mut self) {
         for caller in &self.callers {
             let runs = self.runs.get(&caller.key).copied().unwrap_or(0);
-            let taken = caller.done && !caller.answered && !caller.silent;
-            if taken && caller.told == Some(Verdict::NotRun) && runs > 0 {
-                self.violations
-                    .push(format!("{} was said not to run and ran later", caller.key));
+            let gave_up = caller.done && !caller.answered && !caller.unanswered;
+            if gave_up && caller.last_verdict == Some(Verdict::NotRun) && runs > 0 {
+                self.violations.push(format!(
+                    "{} was reported as not run, but ran later",
+                    caller.key
+                ));
             }
         }
         let newest = self
@@ -20,14 +22,18 @@
             .unwrap_or_default();
         for (n, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.up) {
             if node.rollout.current() < newest {
-                self.violations
-                    .push(format!("node {n} does not run accepted version {newest}"));
+                self.violations.push(format!(
+                    "node {n} has not applied accepted version {newest}"
+                ));
             }
             for member in node.view.members() {
-                let there = &self.nodes[self.address(member.instance)];
-                if there.up && there.left_at.is_none() && member.state == MemberState::Silent {
+                let observed = &self.nodes[self.node_at(member.instance)];
+                if observed.up
+                    && observed.leaving_since.is_none()
+                    && member.state == MemberState::Silent
+                {
                     self.violations
-                        .push(format!("node {n} still calls a well node silent"));
+                        .push(format!("node {n} still marks a healthy node as silent"));
                 }
             }
         }
--- a/tests/fault_matrix/world/stop.rs
+++ b/tests/fault_matrix/world/stop.rs
@@ -1,36 +1,37 @@
-//! A planned stop and what it hands over.
+//! Planned stops and the hand-over.
 
 use super::*;
 
 impl World {
     pub(super) fn stop_step(&mut self, at: Instance, step: u8) {
-        let Some(n) = self.number(at) else { return };
+        let Some(n) = self.live_node(at) else { return };
         let instant = self.instant();
         match step {
-            0 if self.nodes[n].left_at.is_none() => {
-                self.nodes[n].left_at = Some(self.time);
+            0 if self.nodes[n].leaving_since.is_none() => {
+                self.nodes[n].leaving_since = Some(self.time);
                 self.nodes[n]
                     .view
                     .update_own(instant, |own| own.state = MemberState::Leaving);
-                self.after(1500, Event::StopStep { at, step: 1 });
+                self.schedule(1500, Event::StopStep { at, step: 1 });
             }
             1 => {
-                // A call that is being claimed is under way too.
-                let busy = !self.nodes[n].attached.is_empty();
+                // A call that is being claimed counts as in progress.
+                let busy = !self.nodes[n].waiters.is_empty();
                 let next = if busy { 1 } else { 2 };
-                self.after(20, Event::StopStep { at, step: next });
+                self.schedule(20, Event::StopStep { at, step: next });
             }
             2 => {
                 self.nodes[n].ledger.stop();
-                self.after(1, Event::StopStep { at, step: 3 });
+                self.schedule(1, Event::StopStep { at, step: 3 });
             }
             3 => {
                 self.hand_over(n, at);
-                self.after(1, Event::StopStep { at, step: 4 });
+                self.schedule(1, Event::StopStep { at, step: 4 });
             }
             4 => {
                 if self.running.iter().any(|(i, _)| *i == at) {
-                    self.violations.push("a planned stop cut a call".into());
+                    self.violations
+                        .push("a planned stop interrupted a call".into());
                 }
                 self.nodes[n]
                     .view
@@ -42,13 +43,15 @@
     }
 
     pub(super) fn hand_over(&mut self, n: usize, own: Instance) {
-        let heir = self.nodes[n]
+        let successor = self.nodes[n]
             .view
             .serving(&service())
             .map(|m| m.instance)
             .find(|i| *i != own);
-        let Some(heir) = heir else { return };
-        let Some(to) = self.number(heir) else { return };
+        let Some(successor) = successor else { return };
+        let Some(to) = self.live_node(successor) else {
+            return;
+        };
         let reached = !self.cuts.contains(&(n, to)) && self.nodes[to].paused_until <= self.time;
         if !reached || self.nodes[to].ledger.is_stopped() {
             return;
@@ -70,7 +73,7 @@
         if self.platform_cuts.contains(&n) {
             return;
         }
-        let next = hand_over(&row, own, Successor(heir));
+        let next = hand_over(&row, own, Successor(successor));
         let condition = Condition::Revision(revision);
         if let Settled::Written(revision) =
             now(settle(&self.table, "home", condition, next.encode().into()))
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -1,5 +1,4 @@
-//! Announcements of a backend server that come late, twice or from a run that
-//! is gone.
+//! Announcements of a backend server that are late, duplicated or from an ended run.
 
 #![allow(missing_docs)]
 
@@ -11,7 +10,7 @@
     text.parse().expect("an id")
 }
 
-fn news(server: &str, intent: Intent, sequence: u64) -> Announcement {
+fn announcement(server: &str, intent: Intent, sequence: u64) -> Announcement {
     Announcement {
         server: id(server),
         start: None,
@@ -23,11 +22,11 @@
 }
 
 fn serve(server: &str, sequence: u64) -> Announcement {
-    news(server, Intent::Serve, sequence)
+    announcement(server, Intent::Serve, sequence)
 }
 
 #[test]
-fn announce_takes_the_first_and_its_renewals() {
+fn announce_accepts_the_first_and_its_renewals() {
     let mut presence = Presence::default();
     assert!(!presence.is_serving());
     assert_eq!(
@@ -44,9 +43,9 @@
 #[rstest]
 #[case::twice(4)]
 #[case::earlier(2)]
-fn announce_passes_over_late_news(#[case] sequence: u64) {
+fn announce_ignores_stale_announcements(#[case] sequence: u64) {
     let mut presence = Presence::default();
-    presence.announce(&news("a", Intent::Leave, 4));
+    presence.announce(&announcement("a", Intent::Leave, 4));
     assert_eq!(
         presence.announce(&serve("a", sequence)),
         AnnouncementEffect::Stale
@@ -55,14 +54,14 @@
 }
 
 #[test]
-fn announce_passes_over_a_run_that_was_replaced() {
+fn announce_ignores_a_replaced_run() {
     let mut presence = Presence::default();
     presence.announce(&serve("a", 20));
     assert_eq!(
         presence.announce(&serve("b", 1)),
         AnnouncementEffect::Arrived
     );
-    // Held up by a cut, it arrives after its sender has crashed.
+    // Delayed by a network partition, it arrives after its sender has crashed.
     assert_eq!(
         presence.announce(&serve("a", 21)),
         AnnouncementEffect::Stale
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn depart_ends_the_run_that_is_present() {
+fn record_departure_ends_the_present_run() {
     let mut presence = Presence::default();
     presence.announce(&serve("a", 1));
     assert!(presence.record_departure(&id("a"), None));
@@ -81,7 +80,7 @@
 }
 
 #[test]
-fn depart_of_an_earlier_run_changes_nothing() {
+fn record_departure_of_an_earlier_run_changes_nothing() {
     let mut presence = Presence::default();
     presence.announce(&serve("a", 1));
     presence.announce(&serve("b", 1));
@@ -90,10 +89,10 @@
 }
 
 #[test]
-fn displaced_lets_the_run_that_was_met_come_back() {
+fn record_mismatch_readmits_the_run_that_was_found() {
     let mut presence = Presence::default();
     presence.announce(&serve("b", 5));
-    // A late announcement of a dead run took the place of a living one.
+    // A late announcement of an ended run replaced the live one.
     presence.announce(&serve("a", 40));
     presence.record_mismatch(&id("a"), Some(&id("b")));
     assert_eq!(
@@ -108,9 +107,9 @@
 }
 
 #[test]
-fn announce_takes_a_server_back_that_stays_after_all() {
+fn announce_resumes_a_server_that_was_leaving() {
     let mut presence = Presence::default();
-    presence.announce(&news("a", Intent::Leave, 4));
+    presence.announce(&announcement("a", Intent::Leave, 4));
     assert_eq!(
         presence.announce(&serve("a", 5)),
         AnnouncementEffect::Resumed
@@ -129,7 +128,7 @@
 }
 
 #[test]
-fn announce_takes_a_later_run_of_the_same_id() {
+fn announce_accepts_a_later_run_of_the_same_id() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
     assert_eq!(
@@ -146,7 +145,7 @@
 #[rstest]
 #[case::greater_sequence(21)]
 #[case::same_sequence(1)]
-fn announce_passes_over_an_earlier_run_of_the_same_id(#[case] sequence: u64) {
+fn announce_ignores_an_earlier_run_of_the_same_id(#[case] sequence: u64) {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
     presence.announce(&run("a", 2_000, 1));
@@ -161,7 +160,7 @@
 }
 
 #[test]
-fn announce_takes_a_server_back_that_said_goodbye_and_started_again() {
+fn announce_accepts_a_server_that_departed_and_restarted() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
     assert!(presence.record_departure(&id("a"), None));
@@ -177,7 +176,7 @@
 }
 
 #[test]
-fn announce_takes_a_server_back_after_another_had_its_place() {
+fn announce_accepts_a_restarted_server_that_was_replaced() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
     presence.announce(&run("b", 2_000, 1));
@@ -192,9 +191,9 @@
 }
 
 #[test]
-fn announce_tells_runs_apart_where_only_the_goodbye_was_heard() {
+fn announce_distinguishes_runs_when_only_the_departure_is_known() {
     let mut presence = Presence::default();
-    // A daemon that started late never heard the first run of "a".
+    // A daemon that started late has no announcement of the first run of "a".
     presence.announce(&run("b", 2_000, 1));
     assert!(!presence.record_departure(&id("a"), None));
     assert_eq!(
@@ -208,7 +207,7 @@
 }
 
 #[test]
-fn announce_keeps_the_former_order_without_a_start() {
+fn announce_without_a_start_is_stale_after_departure() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 1_000, 20));
     presence.record_departure(&id("a"), None);
@@ -219,7 +218,7 @@
 }
 
 #[test]
-fn depart_of_an_earlier_run_of_the_same_id_changes_nothing() {
+fn record_departure_of_an_earlier_run_of_the_same_id_changes_nothing() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 2_000, 1));
     assert!(!presence.record_departure(&id("a"), Some(Born::from_millis(1_000))));
@@ -228,10 +227,10 @@
     assert!(!presence.is_serving());
 }
 
-/// A server's word in its answers comes before its announcements, which may be
-/// late.
+/// The notice in a server's answers takes precedence over its announcements,
+/// which may be late.
 #[test]
-fn leave_holds_against_later_announcements_of_the_run() {
+fn record_leaving_holds_against_later_announcements_of_the_run() {
     let mut presence = Presence::default();
     presence.announce(&serve("a", 3));
     let run = presence.run().expect("a run");
@@ -251,7 +250,7 @@
 }
 
 #[test]
-fn leave_is_of_one_run_of_a_server() {
+fn record_leaving_applies_to_one_run_of_a_server() {
     let mut presence = Presence::default();
     let born = |millis| Announcement {
         start: Some(Born::from_millis(millis)),
--- a/tests/silent_neighbour.rs
+++ b/tests/silent_neighbour.rs
@@ -1,9 +1,9 @@
-//! A version of the configuration on its way past daemons that are silent.
+//! Propagation of a configuration version past silent daemons.
 //!
-//! Seen in the code: a daemon asked all its neighbours and waited for the slowest
-//! before it asked again. One that had lost power took a second each time, so that
-//! news waited up to a second at each step, while half of an estate may be without
-//! power at once. The operators give a version two seconds to be in force.
+//! If a daemon waits for its slowest neighbour before the next gossip round, one
+//! that lost power delays updates by up to a second at each step. Half of an estate
+//! may lose power at once, and operators require a version to be in force within
+//! two seconds.
 
 #![allow(missing_docs)]
 
@@ -16,11 +16,11 @@
 use support::eventually;
 use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
 
-/// Longest time of one step between neighbours: what news is gathered for, twice,
-/// and room for a busy machine.
-const STEP: Duration = Duration::from_millis(400);
+/// Maximum time for an update to pass between neighbours: twice the time for which
+/// updates are gathered, and a margin for a busy machine.
+const MAX_STEP: Duration = Duration::from_millis(400);
 
-fn silent(listener: &TcpListener) -> Member {
+fn silent_member(listener: &TcpListener) -> Member {
     let address = listener.local_addr().expect("an address");
     Member {
         instance: format!("{address}@1").parse().expect("an instance"),
@@ -44,24 +44,24 @@
 async fn version_passes_a_silent_neighbour() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(1, "svc", 2.0));
-    let teller = vm_beside("svc", address).await;
-    in_force(&teller, 1).await;
-    let peers = teller.daemon.shared().config.listen.peers;
+    let sender = vm_beside("svc", address).await;
+    in_force(&sender, 1).await;
+    let peers = sender.daemon.shared().config.listen.peers;
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let told = vm_beside_with("svc", nowhere, &format!("neighbours: [\"{peers}\"]")).await;
-    in_force(&told, 1).await;
-    // Accepts connections, and never answers.
+    let receiver = vm_beside_with("svc", nowhere, &format!("neighbours: [\"{peers}\"]")).await;
+    in_force(&receiver, 1).await;
+    // Accepts connections but never answers.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    for vm in [&teller, &told] {
+    for vm in [&sender, &receiver] {
         let mut view = vm.daemon.shared().view.lock();
-        view.merge(tokio::time::Instant::now(), silent(&listener));
+        view.merge(tokio::time::Instant::now(), silent_member(&listener));
     }
     tokio::time::sleep(Duration::from_millis(1200)).await;
     for version in 2..6 {
         rows.put("op", "config", &document(version, "svc", 2.0));
-        in_force(&teller, version).await;
+        in_force(&sender, version).await;
         let known = Instant::now();
-        in_force(&told, version).await;
-        assert!(known.elapsed() < STEP, "{:?}", known.elapsed());
+        in_force(&receiver, version).await;
+        assert!(known.elapsed() < MAX_STEP, "{:?}", known.elapsed());
     }
 }
--- a/tests/store_calls.rs
+++ b/tests/store_calls.rs
@@ -1,10 +1,9 @@
-//! How many calls an estate makes to the platform's store.
+//! Number of calls that an estate makes to the platform's store.
 //!
-//! Seen: an estate of 983 daemons on a quiet day made some 22 calls each, for rows
-//! of members, held requests and the configuration, and lost more by their price
-//! than callers had brought. What is asked for here is stated in
-//! `docs/CAPACITY.md`: only a few daemons of a data centre use the store, and the
-//! others hear of all from their neighbours.
+//! Calls to the store are billed. If each of 983 daemons makes about 22 calls on a
+//! quiet day, for member rows, suspects and the configuration, they cost more than
+//! the traffic earns. As `docs/CAPACITY.md` states, only a few daemons of a data
+//! centre use the store; the others learn everything from their neighbours.
 
 #![allow(missing_docs)]
 
@@ -18,17 +17,17 @@
 use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
 use support::rows::RowsStandIn;
 
-/// Daemons of a data centre that use the store, and the one that starts first
-/// and alone.
-const USERS: u64 = 4 + 1;
-/// Calls that one of them makes at its start: its row, the rows of the others in
-/// pages of two, held requests, the configuration and its feed.
+/// Daemons that use the store: the delegates, and the one that starts first and
+/// alone.
+const STORE_USERS: u64 = 4 + 1;
+/// Calls of one of them at its start: its row, the rows of the others in pages of
+/// two, suspects, the configuration and its feed.
 const CALLS_AT_START: u64 = 12;
-/// Reads of the configuration by daemons that do not have it yet: four each
-/// quarter of a second, until a neighbour tells them.
+/// Reads of the configuration by daemons that do not have it yet: four every
+/// quarter of a second, until a neighbour sends it.
 const FIRST_READS: u64 = 16;
-/// How soon a version is in force, as the operators ask.
-const APPLIED: Duration = Duration::from_secs(4);
+/// How soon a version must be in force, as operators require.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 async fn estate(platform: SocketAddr, members: usize) -> Vec<Vm> {
     let first = vm_beside("svc", platform).await;
@@ -69,36 +68,39 @@
         (vms.iter().filter(acts).count() == 4).then_some(())
     })
     .await;
-    // What those do that have just begun to.
+    // Lets new delegates finish their first calls.
     tokio::time::sleep(Duration::from_secs(1)).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn start_and_change_of_many_daemons_take_calls_of_a_few() {
+async fn start_and_change_of_many_daemons_need_calls_of_few() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vms = estate(address, 24).await;
     settled(&vms).await;
     let at_start = rows.calls();
-    let most = USERS * CALLS_AT_START + FIRST_READS;
+    let most = STORE_USERS * CALLS_AT_START + FIRST_READS;
     assert!(
         at_start <= most,
         "{at_start} calls at the start, not {most}"
     );
-    assert!(rows.names("member").len() as u64 <= USERS);
+    assert!(rows.names("member").len() as u64 <= STORE_USERS);
     for vm in &vms {
         assert!(vm.is_ready().await);
     }
     let changed = Instant::now();
     rows.put("op", "config", &document(9, "svc", 2.0));
     in_force(&vms, 9).await;
-    assert!(changed.elapsed() < APPLIED, "{:?}", changed.elapsed());
+    assert!(changed.elapsed() < APPLY_TIMEOUT, "{:?}", changed.elapsed());
     tokio::time::sleep(Duration::from_millis(500)).await;
     let at_change = rows.calls() - at_start;
-    assert!(at_change <= 3 * USERS, "{at_change} calls for a change");
+    assert!(
+        at_change <= 3 * STORE_USERS,
+        "{at_change} calls for a change"
+    );
 }
 
-/// All that use the store for a data centre are lost at once.
+/// All delegates of a data centre are lost at once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn change_is_in_force_after_all_delegates_were_lost() {
     let (address, rows, _listening) = store().await;
@@ -115,9 +117,9 @@
     in_force(&left, 9).await;
 }
 
-/// A daemon that no other answers, as one that is cut off, asks for itself.
+/// A daemon that no other answers uses the store for itself.
 #[tokio::test]
-async fn change_is_in_force_at_a_daemon_that_nobody_answers() {
+async fn change_is_in_force_at_an_isolated_daemon() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm_beside_with("svc", address, "neighbours: [\"127.0.0.1:1\"]").await;
@@ -125,10 +127,10 @@
     in_force(&vms, 7).await;
     rows.put("op", "config", &document(9, "svc", 2.0));
     in_force(&vms, 9).await;
-    row_of_one(&rows).await;
+    single_member_row(&rows).await;
 }
 
-async fn row_of_one(rows: &RowsStandIn) {
+async fn single_member_row(rows: &RowsStandIn) {
     eventually("its row", || async {
         (rows.names("member").len() == 1).then_some(())
     })
