--- a/src/tables/calls.rs
+++ b/src/tables/calls.rs
@@ -9,8 +9,8 @@
 use crate::model::{
     CallId, CallerName, ClassName, Depth, OnceKey, Priority, Retries, RootId, WorkspaceId,
 };
-use crate::policy::admission::Met;
-use crate::policy::retry::Account;
+use crate::policy::admission::OnwardOutcome;
+use crate::policy::retry::RetryAccount;
 
 /// What onward calls of a held call need to know of it.
 #[derive(Debug)]
@@ -32,8 +32,8 @@
     /// The key of the call, if it must run at most once.
     pub once: Option<OnceKey>,
     /// The retries of the call and all below it.
-    pub account: Mutex<Account>,
-    met: Mutex<Vec<Met>>,
+    pub account: Mutex<RetryAccount>,
+    met: Mutex<Vec<OnwardOutcome>>,
 }
 
 impl Held {
@@ -48,18 +48,18 @@
             depth: head.depth,
             deadline: head.deadline,
             once: head.once.as_ref().map(|once| once.key.clone()),
-            account: Mutex::new(Account::open(head.account)),
+            account: Mutex::new(RetryAccount::new(head.account)),
             met: Mutex::default(),
         }
     }
 
     /// Takes note of what an onward call met.
-    pub fn met(&self, met: Met) {
+    pub fn met(&self, met: OnwardOutcome) {
         self.met.lock().push(met);
     }
 
     /// Returns what the onward calls met so far.
-    pub fn take_met(&self) -> Vec<Met> {
+    pub fn take_met(&self) -> Vec<OnwardOutcome> {
         std::mem::take(&mut self.met.lock())
     }
 
