--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -6,9 +6,9 @@
 use http::request::Parts;
 use tokio::time::Instant;
 
-use super::patience::Patience;
-use super::place::{Place, find};
-use super::rejected::{Rejected, rejected};
+use super::caller_time::CallerTime;
+use super::rejection::{Rejection, reject};
+use super::route_match::{RouteMatch, match_request};
 use crate::call::{CallHead, Facts, OnceCall, Origin, Reason};
 use crate::declare::{Class, Estate, Limit, Service, Workspace};
 use crate::model::{
@@ -20,7 +20,7 @@
 use crate::tables::{Held, Shared};
 
 /// A request that was understood.
-pub(super) struct Accepted {
+pub(super) struct AcceptedRequest {
     /// What travels with the call.
     pub(super) head: CallHead,
     /// The call of the own backend server that this one serves, if any.
@@ -28,21 +28,21 @@
     /// Whether the call may run twice.
     pub(super) safety: RepeatSafety,
     /// Retries of the request, if it has no parent.
-    pub(super) retries: Retries,
+    pub(super) max_retries: Retries,
     /// Most backend servers that the call is sent to.
-    pub(super) attempts: u32,
+    pub(super) max_servers: u32,
     /// Whether the class is protected.
-    pub(super) protected: bool,
+    pub(super) is_protected: bool,
     /// The caller's count of its attempts, from 1, if it tells.
-    pub(super) count: Option<u32>,
+    pub(super) attempt_number: Option<u32>,
     /// Name of the caller, for metrics.
     pub(super) caller: Option<CallerName>,
     /// The workspace of the caller's key.
     pub(super) workspace: Option<CallerWorkspace>,
     /// What the front decides besides the levels.
-    pub(super) options: FrontOptions,
+    pub(super) front_options: FrontOptions,
     /// The time that the caller has, if it tells and a route matched.
-    pub(super) patience: Option<Patience>,
+    pub(super) caller_time: Option<CallerTime>,
 }
 
 /// The workspace that a request counts for.
@@ -55,40 +55,40 @@
 /// Reads what a request is, by the rules in force; its head had come at `came`.
 pub(super) fn accept(
     parts: &Parts,
-    came: Instant,
+    arrived_at: Instant,
     from: IpAddr,
     estate: &Estate,
     shared: &Shared,
-) -> Result<Accepted, Rejected> {
-    let wrong = |e| rejected(Reason::BadRequest, e);
+) -> Result<AcceptedRequest, Rejection> {
+    let wrong = |e| reject(Reason::BadRequest, e);
     let facts = shared.protocol.read(parts).map_err(wrong)?;
-    let place = find(parts, estate, &shared.splits)?;
+    let matched = match_request(parts, estate, &shared.splits)?;
     let parent = facts.parent.and_then(|id| shared.calls.get(id));
     let declared = estate.caller(from);
-    let workspace = workspace(&facts, estate, &place, parent.as_deref())?;
+    let workspace = caller_workspace(&facts, estate, &matched, parent.as_deref())?;
     let (rank, class) = match (&parent, workspace) {
-        (Some(held), _) => estate.class(held.class.as_str()),
+        (Some(parent), _) => estate.class(parent.class.as_str()),
         (None, Some(workspace)) => {
-            let instead = workspace.classes.get(&place.class.name);
-            instead.and_then(|class| estate.class(class.as_str()))
+            let replacement = workspace.classes.get(&matched.class.name);
+            replacement.and_then(|class| estate.class(class.as_str()))
         }
         (None, None) => None,
     }
-    .unwrap_or((place.rank, place.class));
+    .unwrap_or((matched.rank, matched.class));
     if parent.is_none()
         && let Some(caller) = declared
         && !caller.classes.is_empty()
         && !caller.classes.contains(&class.name)
     {
         let detail = format!("{} may not use class {}", caller.name, class.name);
-        return Err(rejected(Reason::Forbidden, detail));
+        return Err(reject(Reason::Forbidden, detail));
     }
-    let once = once(parts, place.service, class, estate, parent.as_deref())?;
+    let once = once_call(parts, matched.service, class, estate, parent.as_deref())?;
     let caller = match &parent {
-        Some(held) => held.caller.clone(),
+        Some(parent) => parent.caller.clone(),
         None => declared.map(|caller| caller.name.clone()),
     };
-    let idempotent = match place.route {
+    let idempotent = match matched.route {
         Some(route) => route.idempotent,
         None => class.idempotent || parts.method.is_safe(),
     };
@@ -97,21 +97,21 @@
     } else {
         RepeatSafety::Safe
     };
-    let head = head(
+    let head = call_head(
         parts,
-        came,
+        arrived_at,
         &facts,
-        &place,
+        &matched,
         (rank, class),
         parent.as_deref(),
     )?;
-    let single = parent.is_none() && is_single(shared, &head.service, rank);
-    Ok(Accepted {
+    let single = parent.is_none() && is_single_call(shared, &head.service, rank);
+    Ok(AcceptedRequest {
         head: CallHead {
             caller: caller.clone(),
             workspace: head
                 .workspace
-                .or(workspace.map(|own| WorkspaceId::of(&own.name))),
+                .or(workspace.map(|workspace| WorkspaceId::of(&workspace.name))),
             headers: shared.protocol.forward(
                 &parts.headers,
                 Origin {
@@ -130,17 +130,17 @@
         },
         parent,
         safety,
-        retries: place.retries(class),
-        attempts: place.attempts(class),
-        protected: estate.protected().is_some_and(|last| rank <= last),
-        count: facts.attempt,
+        max_retries: matched.max_retries(class),
+        max_servers: matched.max_servers(class),
+        is_protected: estate.protected().is_some_and(|last| rank <= last),
+        attempt_number: facts.attempt,
         caller,
         workspace: workspace.map(|workspace| CallerWorkspace {
             name: workspace.name.clone(),
             limit: workspace.limit,
         }),
-        options: shared.config.front.options(),
-        patience: Patience::new(&facts, &place),
+        front_options: shared.config.front.options(),
+        caller_time: CallerTime::new(&facts, &matched),
     })
 }
 
@@ -149,16 +149,16 @@
 /// Calls of backend servers bear none. They go to routes that are open to all;
 /// without routes they are known by the id of the call that they are made for,
 /// which nobody else can guess.
-fn workspace<'e>(
+fn caller_workspace<'e>(
     facts: &Facts,
     estate: &'e Estate,
-    place: &Place<'_>,
+    matched: &RouteMatch<'_>,
     parent: Option<&Held>,
-) -> Result<Option<&'e Workspace>, Rejected> {
+) -> Result<Option<&'e Workspace>, Rejection> {
     let Some(workspaces) = &estate.workspaces else {
         return Ok(None);
     };
-    let needs_none = match place.route {
+    let needs_none = match matched.route {
         Some(route) => route.public,
         None => parent.is_some(),
     };
@@ -167,43 +167,43 @@
     }
     let Some(key) = &facts.key else {
         let detail = "send the API key of a workspace";
-        return Err(rejected(Reason::UnknownKey, detail));
+        return Err(reject(Reason::UnknownKey, detail));
     };
     match workspaces.of(key) {
         Some(workspace) => Ok(Some(workspace)),
-        None => Err(rejected(Reason::UnknownKey, "no workspace has this key")),
+        None => Err(reject(Reason::UnknownKey, "no workspace has this key")),
     }
 }
 
 /// Tells whether the callers' own calls of a class to a service need no others.
-fn is_single(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
+fn is_single_call(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
     let table = shared.routes.table(service);
     let table = table.lock();
     table.is_single_call(rank)
 }
 
-fn head(
+fn call_head(
     parts: &Parts,
-    came: Instant,
+    arrived_at: Instant,
     facts: &Facts,
-    place: &Place<'_>,
+    matched: &RouteMatch<'_>,
     (rank, class): (ClassRank, &Class),
     parent: Option<&Held>,
-) -> Result<CallHead, Rejected> {
-    let longest = place.route.map_or(class.deadline, |route| route.timeout);
-    let timeout = match (facts.timeout, place.route) {
+) -> Result<CallHead, Rejection> {
+    let longest = matched.route.map_or(class.deadline, |route| route.timeout);
+    let timeout = match (facts.timeout, matched.route) {
         (Some(timeout), Some(_)) => timeout.min(longest.get()),
         (Some(timeout), None) => timeout,
         (None, _) => longest.get(),
     };
-    let own = came + timeout;
+    let deadline = arrived_at + timeout;
     let root = match parent {
-        Some(held) => held.root,
+        Some(parent) => parent.root,
         None => facts.root.unwrap_or_else(RootId::random),
     };
-    let depth = parent.map_or(Depth::default(), |held| held.depth.next());
+    let depth = parent.map_or(Depth::default(), |parent| parent.depth.next());
     if depth > Depth::MAX {
-        return Err(rejected(Reason::TooDeep, "calls go round in a circle"));
+        return Err(reject(Reason::TooDeep, "calls go round in a circle"));
     }
     let target = parts
         .uri
@@ -213,14 +213,14 @@
         attempt: AttemptId::new(0),
         call: facts.call,
         root,
-        service: place.service.name.clone(),
+        service: matched.service.name.clone(),
         caller: None,
-        workspace: parent.and_then(|held| held.workspace),
+        workspace: parent.and_then(|parent| parent.workspace),
         class: class.name.clone(),
         priority: Priority::new(rank, depth, root),
         depth,
         single: false,
-        deadline: parent.map_or(own, |held| own.min(held.deadline)),
+        deadline: parent.map_or(deadline, |parent| deadline.min(parent.deadline)),
         account: Retries::new(0),
         once: None,
         repeat: false,
@@ -237,26 +237,26 @@
 ///
 /// A call made onwards for a once call has the class of its parent, but is
 /// once itself only where the rules of its own service say so.
-fn once(
+fn once_call(
     parts: &Parts,
     service: &Service,
     class: &Class,
     estate: &Estate,
     parent: Option<&Held>,
-) -> Result<Option<OnceCall>, Rejected> {
-    let (_, own) = estate.classify(service, parts.method.as_str(), parts.uri.path());
-    let declared = if parent.is_some() { own } else { class };
+) -> Result<Option<OnceCall>, Rejection> {
+    let (_, own_class) = estate.classify(service, parts.method.as_str(), parts.uri.path());
+    let declared = if parent.is_some() { own_class } else { class };
     let Some(name) = &declared.once_key else {
         return Ok(None);
     };
     let Some(value) = parts.headers.get(&**name) else {
         let detail = format!("class {} must run at most once; send {name}", declared.name);
-        return Err(rejected(Reason::BadRequest, detail));
+        return Err(reject(Reason::BadRequest, detail));
     };
     let key: OnceKey = value
         .to_str()
         .unwrap_or_default()
         .parse()
-        .map_err(|e: crate::error::Error| rejected(Reason::BadRequest, e))?;
+        .map_err(|e: crate::error::Error| reject(Reason::BadRequest, e))?;
     Ok(Some(OnceCall { key }))
 }
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -9,15 +9,15 @@
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
 /// Marks an answer that was kept from an earlier run of the same key.
-const KEPT: HeaderName = HeaderName::from_static("bramleymount-kept");
+const STORED_ANSWER: HeaderName = HeaderName::from_static("bramleymount-kept");
 
 /// Makes the answers to one request.
-pub(super) struct Answering<'r> {
+pub(super) struct AnswerBuilder<'r> {
     protocol: &'r dyn Protocol,
     request: &'r HeaderMap,
 }
 
-impl<'r> Answering<'r> {
+impl<'r> AnswerBuilder<'r> {
     /// Prepares to answer a request with these headers.
     pub(super) fn new(protocol: &'r dyn Protocol, request: &'r HeaderMap) -> Self {
         Self { protocol, request }
@@ -39,7 +39,7 @@
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
         if head.kept {
-            put(&mut answer, KEPT, "true");
+            insert_header(&mut answer, STORED_ANSWER, "true");
         }
         self.protocol.sign(answer.headers_mut(), call, self.request);
         answer
@@ -62,24 +62,24 @@
         text.push('\n');
         let status = self.protocol.status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
-        put(&mut answer, VERDICT, verdict.as_str());
-        put(&mut answer, REASON, reason.as_str());
+        insert_header(&mut answer, VERDICT, verdict.as_str());
+        insert_header(&mut answer, REASON, reason.as_str());
         if let Some(call) = call {
             self.protocol.sign(answer.headers_mut(), call, self.request);
         }
         if let Some(after) = refusal.retry_after {
-            put(&mut answer, RETRY_AFTER, &self.protocol.retry_after(after));
+            insert_header(&mut answer, RETRY_AFTER, &self.protocol.retry_after(after));
         }
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
         {
-            put(&mut answer, TICKET, &ticket.to_string());
+            insert_header(&mut answer, TICKET, &ticket.to_string());
         }
         answer
     }
 }
 
-fn put(answer: &mut CallerAnswer, name: HeaderName, value: &str) {
+fn insert_header(answer: &mut CallerAnswer, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer.headers_mut().insert(name, value);
     }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -10,5 +10,5 @@
     /// Left out where none can follow.
     pub(super) body: Option<Incoming>,
     /// When its head had come.
-    pub(super) came: Instant,
+    pub(super) arrived_at: Instant,
 }
--- a/src/entry/sending.rs
+++ b/src/entry/attempt_reporter.rs
@@ -2,28 +2,28 @@
 
 use tokio::time::Instant;
 
-use super::forward::Forward;
+use super::forward::ForwardedCall;
 use crate::call::{Reason, Refusal, Reply};
 use crate::model::Instance;
 use crate::policy::route::{AttemptReport, CallKind, CallTime, Table};
 
 /// Reports to the table of targets how an attempt ended, also if the caller
 /// went away first.
-pub(super) struct Sending<'f> {
-    forward: &'f Forward<'f>,
+pub(super) struct AttemptReporter<'f> {
+    forward: &'f ForwardedCall<'f>,
     target: Instance,
-    sent: Instant,
-    reported: bool,
+    sent_at: Instant,
+    is_reported: bool,
 }
 
-impl<'f> Sending<'f> {
+impl<'f> AttemptReporter<'f> {
     /// Begins to watch an attempt that was counted as sent to `target`.
-    pub(super) fn new(forward: &'f Forward<'f>, target: Instance) -> Self {
+    pub(super) fn new(forward: &'f ForwardedCall<'f>, target: Instance) -> Self {
         Self {
             forward,
             target,
-            sent: Instant::now(),
-            reported: false,
+            sent_at: Instant::now(),
+            is_reported: false,
         }
     }
 
@@ -53,28 +53,28 @@
         let now = Instant::now();
         self.forward.table(|table| {
             table.report(now, self.target, report);
-            self.time(table, now, result);
+            self.report_time(table, now, result);
             if let Ok(reply) = result {
                 table.retry_budget().record_answer();
-                self.learn(table, reply);
+                self.record_own_call(table, reply);
             }
         });
-        self.reported = true;
+        self.is_reported = true;
     }
 
     /// Tells the table how long the attempt took. Only an answer in good order
     /// that the server has just made tells how fast it is.
-    fn time(&self, table: &mut Table, now: Instant, result: &Result<Reply, Refusal>) {
-        let time = now.saturating_duration_since(self.sent);
-        let took = match result {
+    fn report_time(&self, table: &mut Table, now: Instant, result: &Result<Reply, Refusal>) {
+        let time = now.saturating_duration_since(self.sent_at);
+        let call_time = match result {
             Ok(reply) if reply.head.kept => return,
             Ok(reply) if reply.head.status.is_success() => CallTime::Answered(time),
             Ok(_) | Err(_) => CallTime::Unanswered(time),
         };
-        table.record_time(now, self.target, self.kind(), took);
+        table.record_time(now, self.target, self.call_kind(), call_time);
     }
 
-    fn kind(&self) -> CallKind {
+    fn call_kind(&self) -> CallKind {
         let head = self.forward.head();
         CallKind {
             rank: head.priority.rank(),
@@ -83,22 +83,23 @@
     }
 
     /// Learns whether callers' own calls of this class make others.
-    fn learn(&self, table: &mut Table, reply: &Reply) {
-        let own = self.forward.accepted.parent.is_none() && self.forward.head().once.is_none();
-        if own && !reply.head.status.is_server_error() {
+    fn record_own_call(&self, table: &mut Table, reply: &Reply) {
+        let is_own_call =
+            self.forward.accepted.parent.is_none() && self.forward.head().once.is_none();
+        if is_own_call && !reply.head.status.is_server_error() {
             table.record_own_call(self.forward.head().priority.rank(), reply.head.onward);
         }
     }
 }
 
-impl Drop for Sending<'_> {
+impl Drop for AttemptReporter<'_> {
     fn drop(&mut self) {
-        if !self.reported {
+        if !self.is_reported {
             let now = Instant::now();
-            let took = CallTime::Unanswered(now.saturating_duration_since(self.sent));
+            let call_time = CallTime::Unanswered(now.saturating_duration_since(self.sent_at));
             self.forward.table(|table| {
                 table.report(now, self.target, AttemptReport::Abandoned);
-                table.record_time(now, self.target, self.kind(), took);
+                table.record_time(now, self.target, self.call_kind(), call_time);
             });
         }
     }
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -10,56 +10,60 @@
 use crate::web::{Chunks, Cut, Payload, SMALL_BODY};
 
 /// Largest body of a once call, in bytes; it is held whole.
-const MAX_ONCE: usize = 1024 * 1024;
+const MAX_ONCE_BODY_BYTES: usize = 1024 * 1024;
 /// Largest body of any call, in bytes.
-const MAX_BODY: u64 = 1024 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 1024 * 1024 * 1024;
 
 /// Why a body was not taken.
 pub(super) enum BodyError {
     /// It is too large.
     TooLarge,
     /// It ended before its end.
-    Cut,
+    Truncated,
 }
 
 /// Reads a body: whole if it is small or must be held, else as a stream.
-pub(super) async fn receive(
+pub(super) async fn read_body(
     headers: &HeaderMap,
     body: Option<Incoming>,
-    hold: bool,
+    must_buffer: bool,
 ) -> Result<Payload, BodyError> {
     let Some(mut body) = body else {
         return Ok(Payload::empty());
     };
     let length = content_length(headers);
-    if length.is_some_and(|n| n > MAX_BODY) {
+    if length.is_some_and(|n| n > MAX_BODY_BYTES) {
         return Err(BodyError::TooLarge);
     }
-    let limit = if hold { MAX_ONCE } else { SMALL_BODY };
+    let limit = if must_buffer {
+        MAX_ONCE_BODY_BYTES
+    } else {
+        SMALL_BODY
+    };
     let large = length.is_some_and(|n| n > limit as u64);
-    if large && hold {
+    if large && must_buffer {
         return Err(BodyError::TooLarge);
     }
     // Grown by doubling it would hold up to twice its length.
     let known = length.filter(|_| !large).unwrap_or_default();
-    let mut first = BytesMut::with_capacity(usize::try_from(known).unwrap_or_default());
-    while !large && first.len() <= limit {
-        match next(&mut body).await {
-            None => return whole(first.freeze(), length),
-            Some(Err(_)) => return Err(BodyError::Cut),
-            Some(Ok(chunk)) => first.extend_from_slice(&chunk),
+    let mut buffered = BytesMut::with_capacity(usize::try_from(known).unwrap_or_default());
+    while !large && buffered.len() <= limit {
+        match next_chunk(&mut body).await {
+            None => return check_length(buffered.freeze(), length),
+            Some(Err(_)) => return Err(BodyError::Truncated),
+            Some(Ok(chunk)) => buffered.extend_from_slice(&chunk),
         }
     }
-    if hold {
+    if must_buffer {
         return Err(BodyError::TooLarge);
     }
     let (sender, chunks) = Chunks::channel();
-    tokio::spawn(pump(first.freeze(), body, length, sender));
+    tokio::spawn(forward_stream(buffered.freeze(), body, length, sender));
     Ok(Payload::Stream { length, chunks })
 }
 
 /// Returns the next chunk of a body; trailers are passed over.
-async fn next(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
+async fn next_chunk(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
             Err(e) => return Some(Err(e)),
@@ -72,9 +76,9 @@
     }
 }
 
-fn whole(bytes: Bytes, length: Option<u64>) -> Result<Payload, BodyError> {
+fn check_length(bytes: Bytes, length: Option<u64>) -> Result<Payload, BodyError> {
     match length {
-        Some(length) if length != bytes.len() as u64 => Err(BodyError::Cut),
+        Some(length) if length != bytes.len() as u64 => Err(BodyError::Truncated),
         _ => Ok(Payload::Whole(bytes)),
     }
 }
@@ -84,33 +88,33 @@
 }
 
 /// Passes a streamed body on as fast as it is taken.
-async fn pump(
-    first: Bytes,
+async fn forward_stream(
+    buffered: Bytes,
     mut body: Incoming,
     length: Option<u64>,
-    to: mpsc::Sender<Result<Bytes, Cut>>,
+    sender: mpsc::Sender<Result<Bytes, Cut>>,
 ) {
-    let mut passed = first.len() as u64;
-    if !first.is_empty() && to.send(Ok(first)).await.is_err() {
+    let mut received_bytes = buffered.len() as u64;
+    if !buffered.is_empty() && sender.send(Ok(buffered)).await.is_err() {
         return;
     }
-    while let Some(chunk) = next(&mut body).await {
+    while let Some(chunk) = next_chunk(&mut body).await {
         let Ok(chunk) = chunk else {
-            let _ = to.send(Err(Cut)).await;
+            let _ = sender.send(Err(Cut)).await;
             return;
         };
-        passed += chunk.len() as u64;
-        if passed > MAX_BODY {
-            let _ = to.send(Err(Cut)).await;
+        received_bytes += chunk.len() as u64;
+        if received_bytes > MAX_BODY_BYTES {
+            let _ = sender.send(Err(Cut)).await;
             return;
         }
-        if !chunk.is_empty() && to.send(Ok(chunk)).await.is_err() {
+        if !chunk.is_empty() && sender.send(Ok(chunk)).await.is_err() {
             return;
         }
     }
     let end = match length {
-        Some(length) if length != passed => Err(Cut),
+        Some(length) if length != received_bytes => Err(Cut),
         _ => Ok(Bytes::new()),
     };
-    let _ = to.send(end).await;
+    let _ = sender.send(end).await;
 }
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::front::Known;
+use super::front::FrontState;
 use crate::call::Refusal;
 use crate::guard::Guard;
 use crate::model::Verdict;
@@ -16,24 +16,24 @@
 use crate::tables::Shared;
 
 /// Home rows a second and at once that one entry may read for callers.
-const HOME_RATE: f64 = 1.0;
-const HOME_BURST: f64 = 4.0;
+const OWNERSHIP_READS_PER_S: f64 = 1.0;
+const OWNERSHIP_READ_BURST: f64 = 4.0;
 
 /// Mean time after which a refused caller may come back, where nothing is
 /// known of the excess.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const MEAN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Mean time after which a caller may come back that met no server in order:
 /// news of another one takes about this long.
-const SOON: Duration = Duration::from_millis(250);
+const MEAN_OUTAGE_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// What the calls of one entry share.
 pub(super) struct Context {
     pub(super) shared: Arc<Shared>,
     pub(super) guard: Arc<Guard>,
     pub(super) pool: Arc<Pool>,
-    pub(super) known: Known,
-    home_reads: Mutex<Budget>,
+    pub(super) front: FrontState,
+    ownership_reads: Mutex<Budget>,
 }
 
 impl Context {
@@ -42,28 +42,32 @@
             shared,
             guard,
             pool,
-            known: Known::default(),
-            home_reads: Mutex::new(Budget::new(Instant::now(), HOME_RATE, HOME_BURST)),
+            front: FrontState::default(),
+            ownership_reads: Mutex::new(Budget::new(
+                Instant::now(),
+                OWNERSHIP_READS_PER_S,
+                OWNERSHIP_READ_BURST,
+            )),
         }
     }
 
     /// Takes leave to read a home row from the platform.
-    pub(super) fn may_read_home(&self) -> bool {
-        self.home_reads.lock().try_take(Instant::now())
+    pub(super) fn may_read_ownership(&self) -> bool {
+        self.ownership_reads.lock().try_take(Instant::now())
     }
 
     /// Adds when the caller may come back to a refusal that does not say so,
     /// where coming back may help.
-    pub(super) fn advise(&self, refusal: &mut Refusal) {
+    pub(super) fn add_retry_after(&self, refusal: &mut Refusal) {
         let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().may_pass();
         if helps && refusal.retry_after.is_none() {
-            let time = SOON.mul_f64(rand::rng().random_range(0.5..1.5));
+            let time = MEAN_OUTAGE_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.5));
             refusal.retry_after = Some(time);
         }
     }
 
     /// Returns when a refused caller may come back, spread at random.
-    pub(super) fn retry_after(&self) -> Duration {
-        RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.5))
+    pub(super) fn random_retry_after(&self) -> Duration {
+        MEAN_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.5))
     }
 }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -7,10 +7,10 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use super::accept::Accepted;
+use super::accept::AcceptedRequest;
+use super::attempt_reporter::AttemptReporter;
 use super::context::Context;
-use super::purse::Purse;
-use super::sending::Sending;
+use super::retry_source::RetrySource;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
 use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
 use crate::peer::{self, Message};
@@ -22,7 +22,7 @@
 use crate::web::Payload;
 
 /// How a call ended, and how many retries it took here.
-pub(super) struct Ended {
+pub(super) struct CallOutcome {
     pub(super) result: Result<Reply, Refusal>,
     pub(super) retries: u32,
     /// The guards that were asked, in order.
@@ -30,131 +30,133 @@
 }
 
 /// One call under way at the entry.
-pub(super) struct Forward<'e> {
+pub(super) struct ForwardedCall<'e> {
     pub(super) context: &'e Context,
-    pub(super) purse: Purse,
-    pub(super) accepted: &'e Accepted,
+    pub(super) retry_source: RetrySource,
+    pub(super) accepted: &'e AcceptedRequest,
     /// The targets of the service that is called.
     targets: Arc<Mutex<Table>>,
     pub(super) retries: u32,
     /// The weakest verdict of the attempts so far.
-    pub(super) earlier: Verdict,
-    pub(super) tried: Vec<Instance>,
+    pub(super) earlier_verdict: Verdict,
+    pub(super) tried_targets: Vec<Instance>,
     /// All guards that were asked, in order.
-    pub(super) asked: Vec<SocketAddr>,
+    pub(super) asked_guards: Vec<SocketAddr>,
     /// Backend servers that refused the call without running it.
-    pub(super) rejected_by: Vec<Instance>,
+    pub(super) rejecting_servers: Vec<Instance>,
     /// How often the call was sent to a backend server.
-    pub(super) sent: u32,
+    pub(super) sent_count: u32,
     /// Guards that refused it before its backend server saw it.
-    pub(super) detours: u32,
+    pub(super) guard_refusals: u32,
     /// Whether it waits for the rate that a backend server named, since no
     /// other one has room.
-    pub(super) waits: bool,
+    pub(super) may_wait: bool,
 }
 
-impl<'e> Forward<'e> {
-    pub(super) fn new(context: &'e Context, accepted: &'e Accepted) -> Self {
-        let purse = match &accepted.parent {
-            Some(held) => Purse::Parent(Arc::clone(held)),
-            None => Purse::Own(Mutex::new(RetryAccount::new(accepted.retries))),
+impl<'e> ForwardedCall<'e> {
+    pub(super) fn new(context: &'e Context, accepted: &'e AcceptedRequest) -> Self {
+        let retry_source = match &accepted.parent {
+            Some(parent) => RetrySource::Parent(Arc::clone(parent)),
+            None => RetrySource::Own(Mutex::new(RetryAccount::new(accepted.max_retries))),
         };
         Self {
             context,
-            purse,
+            retry_source,
             accepted,
             targets: context.shared.routes.table(&accepted.head.service),
             retries: 0,
-            earlier: Verdict::NotRun,
-            tried: Vec::new(),
-            asked: Vec::new(),
-            rejected_by: Vec::new(),
-            sent: 0,
-            detours: 0,
-            waits: false,
+            earlier_verdict: Verdict::NotRun,
+            tried_targets: Vec::new(),
+            asked_guards: Vec::new(),
+            rejecting_servers: Vec::new(),
+            sent_count: 0,
+            guard_refusals: 0,
+            may_wait: false,
         }
     }
 
     /// Makes attempts until the call is answered or given up.
-    pub(super) async fn run(mut self, body: Payload) -> Ended {
+    pub(super) async fn run(mut self, body: Payload) -> CallOutcome {
         let result = match body {
-            Payload::Whole(bytes) => self.attempts(bytes).await,
+            Payload::Whole(bytes) => self.run_attempts(bytes).await,
             stream @ Payload::Stream { .. } => {
                 // It can't be sent elsewhere once it has begun.
-                self.waits = true;
-                match self.target(Attempt::plan()) {
-                    Ok((attempt, target)) => Box::pin(self.attempt(attempt, target, stream)).await,
+                self.may_wait = true;
+                match self.choose_target(Attempt::plan()) {
+                    Ok((attempt, target)) => {
+                        Box::pin(self.send_attempt(attempt, target, stream)).await
+                    }
                     Err(refusal) => Err(refusal),
                 }
             }
         };
-        let result = result.map_err(|refusal| self.weigh(refusal));
+        let result = result.map_err(|refusal| self.weaken_verdict(refusal));
         if let Some(parent) = &self.accepted.parent {
             let now = Instant::now();
-            let cut_off = self.is_cut_off(now, &result);
-            let demand = if cut_off {
+            let unreachable = self.is_service_unreachable(now, &result);
+            let demand = if unreachable {
                 self.context.shared.metrics.count("service_cut_off");
                 UNREACHABLE_DEMAND
             } else {
                 self.table(|table| table.demand(now))
             };
             let overload = matches!(&result, Err(refusal) if refusal.reason().is_overload());
-            let refused = overload || cut_off;
+            let refused = overload || unreachable;
             let failed = !matches!(&result, Ok(reply) if !reply.head.status.is_server_error());
-            let met = OnwardOutcome {
+            let outcome = OnwardOutcome {
                 service: self.head().service.clone(),
                 demand,
                 refused,
                 failed,
             };
-            parent.met(met);
+            parent.met(outcome);
         }
-        Ended {
+        CallOutcome {
             result,
             retries: self.retries,
-            targets: self.asked.into(),
+            targets: self.asked_guards.into(),
         }
     }
 
     /// Tells whether a call failed since no server of the service was in reach.
-    fn is_cut_off(&self, now: Instant, result: &Result<Reply, Refusal>) -> bool {
+    fn is_service_unreachable(&self, now: Instant, result: &Result<Reply, Refusal>) -> bool {
         let unreachable = matches!(result, Err(refusal) if refusal.reason() == Reason::Unreachable);
-        self.accepted.options.fail_fast
+        self.accepted.front_options.fail_fast
             && unreachable
-            && self.table(|table| is_unreachable(now, table, &self.asked))
+            && self.table(|table| is_unreachable(now, table, &self.asked_guards))
     }
 
-    async fn attempts(&mut self, body: Bytes) -> Result<Reply, Refusal> {
+    async fn run_attempts(&mut self, body: Bytes) -> Result<Reply, Refusal> {
         let now = Instant::now();
         self.table(|table| table.retry_budget().record_call(now));
-        self.refresh_home().await?;
+        self.refresh_ownership().await?;
         let mut last = None;
         loop {
-            let (attempt, target) = match (self.target(Attempt::plan()), last) {
+            let (attempt, target) = match (self.choose_target(Attempt::plan()), last) {
                 (Ok(found), _) => found,
                 (Err(_), Some(failed)) => return Err(failed),
                 (Err(refusal), None) => return Err(refusal),
             };
-            self.asked.push(target.address);
+            self.asked_guards.push(target.address);
             let failed = match self
-                .attempt(attempt, target, Payload::Whole(body.clone()))
+                .send_attempt(attempt, target, Payload::Whole(body.clone()))
                 .await
             {
                 Ok(reply) => return Ok(reply),
                 Err(refusal) => refusal,
             };
-            let failed = match self.after_once(target, failed).await {
+            let failed = match self.resolve_once(target, failed).await {
                 Ok(reply) => return Ok(reply),
                 Err(refusal) => refusal,
             };
-            if failed.reason() == Reason::Rejected && !self.rejected_by.contains(&target) {
-                self.rejected_by.push(target);
+            if failed.reason() == Reason::Rejected && !self.rejecting_servers.contains(&target) {
+                self.rejecting_servers.push(target);
             }
-            if !self.again(&failed) {
+            if !self.should_retry(&failed) {
                 return Err(failed);
             }
             if self.head().once.is_none() && !self.may_wait_after(&failed) {
-                self.tried.push(target);
+                self.tried_targets.push(target);
             }
             self.retries += 1;
             let journal = &self.context.shared.journal;
@@ -168,35 +170,35 @@
         &self.accepted.head
     }
 
-    pub(super) fn table<T>(&self, use_it: impl FnOnce(&mut Table) -> T) -> T {
-        use_it(&mut self.targets.lock())
+    pub(super) fn table<T>(&self, f: impl FnOnce(&mut Table) -> T) -> T {
+        f(&mut self.targets.lock())
     }
 
-    /// Makes one attempt; what it did not use of its loan comes home.
-    async fn attempt(
+    /// Makes one attempt; what it did not use of its grant comes home.
+    async fn send_attempt(
         &self,
         attempt: Attempt<Planned>,
         target: Instance,
         body: Payload,
     ) -> Result<Reply, Refusal> {
-        let loan = self.purse.with(RetryAccount::grant);
+        let grant = self.retry_source.with_account(RetryAccount::grant);
         let journal = &self.context.shared.journal;
         journal.note(self.head().call, Step::Sent, Detail::Target(target));
-        let sent = Sending::new(self, target);
+        let reporter = AttemptReporter::new(self, target);
         let told = self.context.shared.notices.of(target.address);
         let result = if target == self.context.shared.instance {
-            let call = self.call(attempt.id(), loan.retries, body, told);
+            let call = self.local_call(attempt.id(), grant.retries, body, told);
             // On the heap, so that calls to other daemons need no room for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
             let message = Message {
                 head: self.head(),
-                account: loan.retries,
+                account: grant.retries,
                 body,
-                held: self.holds(target),
+                held: self.needs_confirmation(target),
                 suspect: self.suspect(),
                 told,
-                waits: self.waits,
+                waits: self.may_wait,
             };
             peer::send(&self.context.pool, target, attempt, message).await
         };
@@ -205,13 +207,13 @@
                 .shared
                 .note_crash(self.head().fingerprint, crash);
         }
-        sent.report(&result);
-        self.settle(loan, &result);
+        reporter.report(&result);
+        self.settle_grant(grant, &result);
         result
     }
 
     /// Makes the call of one attempt for the guard of this VM.
-    fn call(
+    fn local_call(
         &self,
         attempt: AttemptId,
         account: Retries,
@@ -223,7 +225,7 @@
                 attempt,
                 account,
                 told,
-                waits: self.waits,
+                waits: self.may_wait,
                 ..self.head().clone()
             },
             body,
@@ -234,7 +236,7 @@
     /// Tells whether the guard asks before it starts the call: one that must
     /// not run twice, and any to a guard that may be out of reach, so that it
     /// can be tried elsewhere at no cost.
-    fn holds(&self, target: Instance) -> bool {
+    fn needs_confirmation(&self, target: Instance) -> bool {
         if self.head().once.is_some() {
             return false;
         }
@@ -243,16 +245,16 @@
             || !self.table(|table| table.has_recent_status(now, target))
     }
 
-    fn settle(&self, loan: RetryGrant, result: &Result<Reply, Refusal>) {
-        let rest = match result {
+    fn settle_grant(&self, grant: RetryGrant, result: &Result<Reply, Refusal>) {
+        let unused = match result {
             Ok(reply) => Some(reply.head.account),
             Err(refusal) if refusal.news.is_some() => Some(refusal.account),
-            Err(refusal) if refusal.verdict() == Verdict::NotRun => Some(loan.retries),
+            Err(refusal) if refusal.verdict() == Verdict::NotRun => Some(grant.retries),
             Err(_) => None,
         };
-        self.purse.with(|account| match rest {
-            Some(rest) => account.reclaim(loan.id, rest),
-            None => account.discard(loan.id),
+        self.retry_source.with_account(|account| match unused {
+            Some(unused) => account.reclaim(grant.id, unused),
+            None => account.discard(grant.id),
         });
     }
 }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -11,13 +11,13 @@
 use rand::Rng;
 use tokio::time::{Instant, timeout_at};
 
-use super::accept::{Accepted, accept};
-use super::answer::Answering;
+use super::accept::{AcceptedRequest, accept};
+use super::answer::AnswerBuilder;
 use super::arrival::Arrival;
-use super::body::{BodyError, receive};
+use super::body::{BodyError, read_body};
 use super::context::Context;
-use super::forward::{Ended, Forward};
-use super::place::host;
+use super::forward::{CallOutcome, ForwardedCall};
+use super::route_match::request_host;
 use crate::call::{Attempt, Reason, Refusal};
 use crate::guard::Guard;
 use crate::metrics::Ending;
@@ -31,16 +31,16 @@
 use crate::web::{CallerAnswer, Payload};
 
 /// The name in metrics of callers and classes that are not declared.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// How long after the deadline the word of the guard is waited for, which may
 /// say that the call has not run.
-const LAST_WORD: Duration = Duration::from_millis(50);
+const VERDICT_GRACE: Duration = Duration::from_millis(50);
 
 /// Takes calls and brings back their answers.
 pub struct Entry {
     pub(super) context: Context,
-    repeats: Mutex<RepeatDetector>,
+    repeat_detector: Mutex<RepeatDetector>,
     in_flight: AtomicUsize,
     closed: AtomicBool,
 }
@@ -50,7 +50,7 @@
     pub fn new(shared: Arc<Shared>, guard: Arc<Guard>, pool: Arc<Pool>) -> Arc<Self> {
         Arc::new(Self {
             context: Context::new(shared, guard, pool),
-            repeats: Mutex::default(),
+            repeat_detector: Mutex::default(),
             in_flight: AtomicUsize::new(0),
             closed: AtomicBool::new(false),
         })
@@ -74,49 +74,58 @@
 
     /// Serves a request; it is dropped when the caller leaves.
     pub(super) async fn handle(self: Arc<Self>, arrival: Arrival, from: IpAddr) -> CallerAnswer {
-        let _counted = Counted::new(&self.in_flight);
+        let _in_flight = InFlightCount::new(&self.in_flight);
         let shared = &self.context.shared;
-        let Arrival { parts, body, came } = arrival;
-        let answering = Answering::new(&*shared.protocol, &parts.headers);
-        let mut accepted = match self.accept(&parts, came, from) {
+        let Arrival {
+            parts,
+            body,
+            arrived_at,
+        } = arrival;
+        let answers = AnswerBuilder::new(&*shared.protocol, &parts.headers);
+        let mut accepted = match self.accept(&parts, arrived_at, from) {
             Ok(accepted) => accepted,
             Err(mut refusal) => {
-                self.note_rejected(answering.id(), &refusal);
-                self.context.advise(&mut refusal);
-                return answering.refusal(None, &refusal, None);
+                self.record_rejected(answers.id(), &refusal);
+                self.context.add_retry_after(&mut refusal);
+                return answers.refusal(None, &refusal, None);
             }
         };
         let call = accepted.head.call;
         shared.journal.note(call, Step::Entered, Detail::None);
-        let ended = self.run_paid(&mut accepted, &parts, body).await;
-        self.record(&accepted, &ended, came.elapsed());
-        self.explain_end(answering.id(), &accepted, &ended, came.elapsed());
-        match ended.result {
+        let outcome = self.run_within_rate(&mut accepted, &parts, body).await;
+        self.record_metrics(&accepted, &outcome, arrived_at.elapsed());
+        self.log_failure(answers.id(), &accepted, &outcome, arrived_at.elapsed());
+        match outcome.result {
             Ok(reply) => {
                 shared
                     .journal
                     .note(call, Step::Answered, Detail::Status(reply.head.status));
-                answering.reply(call, reply)
+                answers.reply(call, reply)
             }
             Err(mut refusal) => {
                 self.context.set_backoff(&accepted, &mut refusal);
-                self.context.advise(&mut refusal);
+                self.context.add_retry_after(&mut refusal);
                 shared
                     .journal
                     .note(call, Step::Refused, Detail::Word(refusal.reason().as_str()));
-                let ticket = self.ticket(&accepted, &refusal);
-                answering.refusal(Some(call), &refusal, ticket.as_ref())
+                let ticket = self.replacement_ticket(&accepted, &refusal);
+                answers.refusal(Some(call), &refusal, ticket.as_ref())
             }
         }
     }
 
-    fn accept(&self, parts: &Parts, came: Instant, from: IpAddr) -> Result<Accepted, Refusal> {
+    fn accept(
+        &self,
+        parts: &Parts,
+        arrived_at: Instant,
+        from: IpAddr,
+    ) -> Result<AcceptedRequest, Refusal> {
         let attempt = Attempt::plan();
         let shared = &self.context.shared;
         let Some(in_force) = shared.current.get() else {
             return Err(attempt.refuse(Reason::NoConfig, "no configuration was applied yet"));
         };
-        let mut accepted = accept(parts, came, from, &in_force.estate, shared)
+        let mut accepted = accept(parts, arrived_at, from, &in_force.estate, shared)
             .map_err(|rejected| Attempt::plan().refuse(rejected.reason, rejected.detail))?;
         if self.is_closed() && accepted.parent.is_none() {
             return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon stops"));
@@ -125,13 +134,13 @@
         Ok(accepted)
     }
 
-    fn note_rejected(&self, id: &str, refusal: &Refusal) {
+    fn record_rejected(&self, id: &str, refusal: &Refusal) {
         let shared = &self.context.shared;
         let reason = refusal.reason().as_str();
         shared.metrics.count_reason("rejected", reason);
         shared
             .metrics
-            .ended(OTHER, OTHER, Ending::Failed, Duration::ZERO, 0);
+            .ended(OTHER_LABEL, OTHER_LABEL, Ending::Failed, Duration::ZERO, 0);
         if shared.decisions.may_log() {
             spdlog::info!("request not taken", kv: {
                 request = id,
@@ -143,54 +152,64 @@
     }
 
     /// Runs a request within the rate of its workspace.
-    async fn run_paid(
+    async fn run_within_rate(
         &self,
-        accepted: &mut Accepted,
+        accepted: &mut AcceptedRequest,
         parts: &Parts,
         body: Option<Incoming>,
-    ) -> Ended {
-        let paid = match self.context.pay(accepted).await {
-            Ok(paid) => paid,
+    ) -> CallOutcome {
+        let charge = match self.context.charge_credit(accepted).await {
+            Ok(charge) => charge,
             Err(refusal) => {
-                return Ended {
+                return CallOutcome {
                     result: Err(refusal),
                     retries: 0,
                     targets: Box::default(),
                 };
             }
         };
-        let ended = self.run(accepted, parts, body).await;
-        let ran = match &ended.result {
+        let outcome = self.run(accepted, parts, body).await;
+        let may_have_run = match &outcome.result {
             Ok(_) => true,
             Err(refusal) => refusal.verdict() != Verdict::NotRun,
         };
-        if let (false, Some(paid)) = (ran, paid) {
-            paid.give_back();
+        if let (false, Some(charge)) = (may_have_run, charge) {
+            charge.refund();
         }
-        ended
+        outcome
     }
 
-    async fn run(&self, accepted: &mut Accepted, parts: &Parts, body: Option<Incoming>) -> Ended {
-        let refused = |reason| Ended {
+    async fn run(
+        &self,
+        accepted: &mut AcceptedRequest,
+        parts: &Parts,
+        body: Option<Incoming>,
+    ) -> CallOutcome {
+        let refused = |reason| CallOutcome {
             result: Err(Attempt::plan().refuse(reason, "")),
             retries: 0,
             targets: Box::default(),
         };
-        let hold = accepted.head.once.is_some();
+        let must_buffer = accepted.head.once.is_some();
         let deadline = accepted.head.deadline;
-        let body = match timeout_at(deadline, receive(&parts.headers, body, hold)).await {
+        let body = match timeout_at(deadline, read_body(&parts.headers, body, must_buffer)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::TooLarge)) => return refused(Reason::TooLarge),
-            Ok(Err(BodyError::Cut)) => return refused(Reason::RequestCut),
+            Ok(Err(BodyError::Truncated)) => return refused(Reason::RequestCut),
             Err(_) => return refused(Reason::Shed(Shed::Deadline)),
         };
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
-        self.note_repeat(accepted);
-        let latest = accepted.head.deadline + LAST_WORD;
+        self.count_repeat(accepted);
+        let latest = accepted.head.deadline + VERDICT_GRACE;
         // Made in place: a future that is named first is kept twice.
-        match timeout_at(latest, Forward::new(&self.context, accepted).run(body)).await {
-            Ok(ended) => ended,
-            Err(_) => Ended {
+        match timeout_at(
+            latest,
+            ForwardedCall::new(&self.context, accepted).run(body),
+        )
+        .await
+        {
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome {
                 result: Err(Attempt::plan().send().lose(Reason::Timeout, "")),
                 retries: 0,
                 targets: Box::default(),
@@ -202,64 +221,77 @@
     /// come.
     fn fingerprint(
         &self,
-        accepted: &Accepted,
+        accepted: &AcceptedRequest,
         parts: &Parts,
         body: &Payload,
     ) -> Option<Fingerprint> {
         let Payload::Whole(body) = body else {
             return None;
         };
-        let asked = Asked {
+        let request = Asked {
             method: &parts.method,
-            host: host(parts),
+            host: request_host(parts),
             target: &accepted.head.target,
             body,
         };
         // A workspace is the same caller at whichever VM it asks.
-        let workspace = accepted.workspace.as_ref().map(|of| of.name.as_str());
+        let workspace = accepted
+            .workspace
+            .as_ref()
+            .map(|workspace| workspace.name.as_str());
         let caller = accepted.caller.as_ref().map(CallerName::as_str);
         let origin = self.context.shared.config.service.as_str();
-        let asks = workspace.or(caller).unwrap_or(origin);
-        Some(Fingerprint::of(asked, asks))
+        let caller_id = workspace.or(caller).unwrap_or(origin);
+        Some(Fingerprint::of(request, caller_id))
     }
 
-    fn note_repeat(&self, accepted: &Accepted) {
+    fn count_repeat(&self, accepted: &AcceptedRequest) {
         let key = accepted.head.once.as_ref().map(|once| once.key.hash());
-        if self.repeats.lock().check(accepted.count, key) {
+        if self
+            .repeat_detector
+            .lock()
+            .check(accepted.attempt_number, key)
+        {
             self.context.shared.metrics.count("repeats");
         }
     }
 
-    fn record(&self, accepted: &Accepted, ended: &Ended, latency: Duration) {
-        let ending = match &ended.result {
+    fn record_metrics(&self, accepted: &AcceptedRequest, outcome: &CallOutcome, latency: Duration) {
+        let ending = match &outcome.result {
             Ok(_) => Ending::Whole,
             Err(refusal) if matches!(refusal.reason(), Reason::Shed(_)) => Ending::Shed,
             Err(_) => Ending::Failed,
         };
         let metrics = &self.context.shared.metrics;
-        if let Err(refusal) = &ended.result {
+        if let Err(refusal) = &outcome.result {
             let reason = refusal.reason().as_str();
             metrics.count_reason("refused", reason);
             let verdict = refusal.verdict().as_str();
             metrics.count_reason("verdict", verdict);
         }
         let class = accepted.head.class.as_str();
-        let caller = accepted.caller.as_ref().map_or(OTHER, |c| c.as_str());
-        metrics.ended(class, caller, ending, latency, ended.retries);
+        let caller = accepted.caller.as_ref().map_or(OTHER_LABEL, |c| c.as_str());
+        metrics.ended(class, caller, ending, latency, outcome.retries);
     }
 
     /// Logs how a call ended that was not answered well.
-    fn explain_end(&self, id: &str, accepted: &Accepted, ended: &Ended, took: Duration) {
+    fn log_failure(
+        &self,
+        id: &str,
+        accepted: &AcceptedRequest,
+        call_outcome: &CallOutcome,
+        took: Duration,
+    ) {
         let shared = &self.context.shared;
-        let failed = match &ended.result {
+        let is_failure = match &call_outcome.result {
             Ok(reply) => reply.head.status.is_server_error(),
             Err(_) => true,
         };
-        if !failed || !shared.decisions.may_log() {
+        if !is_failure || !shared.decisions.may_log() {
             return;
         }
         let head = &accepted.head;
-        let (outcome, verdict, detail) = match &ended.result {
+        let (outcome, verdict, detail) = match &call_outcome.result {
             Ok(reply) => ("server-failed", "ran", reply.head.status.as_str().into()),
             Err(refusal) => (
                 refusal.reason().as_str(),
@@ -268,10 +300,17 @@
             ),
         };
         let left = head.deadline.saturating_duration_since(Instant::now());
-        let targets: Vec<String> = ended.targets.iter().map(ToString::to_string).collect();
+        let targets: Vec<String> = call_outcome
+            .targets
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         let targets = targets.join(" ");
         let asks = head.fingerprint.map(|asks| asks.to_string());
-        let workspace = accepted.workspace.as_ref().map(|of| of.name.as_str());
+        let workspace = accepted
+            .workspace
+            .as_ref()
+            .map(|workspace| workspace.name.as_str());
         spdlog::info!("call failed", kv: {
             request = id,
             call = head.call.to_string().as_str(),
@@ -284,7 +323,7 @@
             detail = &*detail,
             asks = asks.as_deref().unwrap_or_default(),
             targets = targets.as_str(),
-            retries = ended.retries,
+            retries = call_outcome.retries,
             took_ms = took.as_millis() as u64,
             left_ms = left.as_millis() as u64,
             version = shared.current.version().get()
@@ -292,17 +331,17 @@
     }
 
     /// Offers a key that can be used now, where the one that was sent cannot.
-    fn ticket(&self, accepted: &Accepted, refusal: &Refusal) -> Option<OnceKey> {
+    fn replacement_ticket(&self, accepted: &AcceptedRequest, refusal: &Refusal) -> Option<OnceKey> {
         match refusal.reason() {
             Reason::Once(OnceRefusal::NotOwned | OnceRefusal::NoPlatform) => {
-                self.issue(&accepted.head.service)
+                self.issue_ticket(&accepted.head.service)
             }
             _ => None,
         }
     }
 
     /// Issues a key bound to an instance of the service that takes calls.
-    pub fn issue(&self, service: &ServiceName) -> Option<OnceKey> {
+    pub fn issue_ticket(&self, service: &ServiceName) -> Option<OnceKey> {
         let table = self.context.shared.routes.table(service);
         let table = table.lock();
         let serving: Vec<_> = table
@@ -313,8 +352,8 @@
         if serving.is_empty() {
             return None;
         }
-        let place = rand::rng().random_range(0..serving.len());
-        Some(OnceKey::ticket(serving[place]))
+        let index = rand::rng().random_range(0..serving.len());
+        Some(OnceKey::ticket(serving[index]))
     }
 
     /// Returns the call ids that this entry has notes on.
@@ -324,16 +363,16 @@
 }
 
 /// Counts a call while it is under way.
-struct Counted<'e>(&'e AtomicUsize);
+struct InFlightCount<'e>(&'e AtomicUsize);
 
-impl<'e> Counted<'e> {
+impl<'e> InFlightCount<'e> {
     fn new(count: &'e AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightCount<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,24 +1,24 @@
 //! The entry: takes calls from callers and from the own backend server.
 
 mod accept;
-mod again;
 mod answer;
 mod arrival;
+mod attempt_reporter;
 mod body;
-mod choice;
+mod caller_time;
 mod context;
 mod forward;
 mod front;
 mod handler;
 mod header;
 mod once;
-mod patience;
-mod place;
-mod purse;
 mod rate;
-mod rejected;
-mod sending;
+mod rejection;
+mod retry;
+mod retry_source;
+mod route_match;
 mod serve;
+mod target;
 
 pub use crate::call::{ATTEMPT, TIMEOUT};
 pub use handler::Entry;
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -3,37 +3,37 @@
 
 use tokio::time::Instant;
 
-use super::forward::Forward;
+use super::forward::ForwardedCall;
 use crate::call::{Attempt, Reason, Refusal, Reply};
 use crate::model::{Instance, OnceKey, Verdict};
 use crate::peer;
 use crate::policy::once::{Destination, OnceRefusal, destination};
 use crate::task::read_home;
 
-impl Forward<'_> {
+impl ForwardedCall<'_> {
     /// Reads the home row anew if nobody owns the key by the row known here.
     ///
     /// # Errors
     ///
     /// If nobody owns it by the row just read either, nobody can have run it.
-    pub(super) async fn refresh_home(&self) -> Result<(), Refusal> {
+    pub(super) async fn refresh_ownership(&self) -> Result<(), Refusal> {
         let Some(once) = &self.head().once else {
             return Ok(());
         };
         let not_owned = Destination::Refused(OnceRefusal::NotOwned);
-        if self.place(&once.key) != not_owned || !self.context.may_read_home() {
+        if self.destination(&once.key) != not_owned || !self.context.may_read_ownership() {
             return Ok(());
         }
         let service = &self.head().service;
         if !Box::pin(read_home(&self.context.shared, service)).await
-            || self.place(&once.key) != not_owned
+            || self.destination(&once.key) != not_owned
         {
             return Ok(());
         }
         Err(Attempt::plan().refuse_once(OnceRefusal::NotOwned).of_key())
     }
 
-    pub(super) fn place(&self, key: &OnceKey) -> Destination {
+    pub(super) fn destination(&self, key: &OnceKey) -> Destination {
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
@@ -56,7 +56,7 @@
 
     /// Asks the same instance what became of a once call that was lost, and
     /// follows a claim to the instance that holds it.
-    pub(super) async fn after_once(
+    pub(super) async fn resolve_once(
         &mut self,
         target: Instance,
         failed: Refusal,
@@ -65,7 +65,7 @@
             return Err(failed);
         };
         if failed.reason() == Reason::Once(OnceRefusal::WrongOwner) {
-            return Box::pin(self.follow(&once.key, failed)).await;
+            return Box::pin(self.follow_claim(&once.key, failed)).await;
         }
         let lost = matches!(
             failed.reason(),
@@ -74,10 +74,10 @@
         if !lost || failed.verdict() != Verdict::MayHaveRun {
             return Err(failed);
         }
-        let asked = Box::pin(self.inquire(target, &once.key)).await;
-        match asked {
-            Err(answer) if answer.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
-            Err(answer) => Err(answer.after(Verdict::MayHaveRun)),
+        let inquiry = Box::pin(self.inquire(target, &once.key)).await;
+        match inquiry {
+            Err(refusal) if refusal.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
+            Err(refusal) => Err(refusal.after(Verdict::MayHaveRun)),
             other => other,
         }
     }
@@ -89,13 +89,13 @@
     }
 
     /// Learns the outcome from the instance that a claim names.
-    async fn follow(&self, key: &OnceKey, failed: Refusal) -> Result<Reply, Refusal> {
+    async fn follow_claim(&self, key: &OnceKey, failed: Refusal) -> Result<Reply, Refusal> {
         let Ok(owner) = failed.detail.parse::<Instance>() else {
             return Err(failed);
         };
         match self.inquire(owner, key).await {
             Ok(reply) => Ok(reply),
-            Err(answer) => Err(answer.after(Verdict::MayHaveRun)),
+            Err(refusal) => Err(refusal.after(Verdict::MayHaveRun)),
         }
     }
 }
--- a/src/entry/rate.rs
+++ b/src/entry/rate.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::accept::{Accepted, CallerWorkspace};
+use super::accept::{AcceptedRequest, CallerWorkspace};
 use super::context::Context;
 use crate::call::{Attempt, Reason, Refusal};
 use crate::declare::Limit;
@@ -11,11 +11,11 @@
 use crate::task::ask_for_credit;
 
 /// The credit that a request has taken; given back unless it may have run.
-pub(super) struct Paid(Arc<Credit>);
+pub(super) struct CreditCharge(Arc<Credit>);
 
-impl Paid {
+impl CreditCharge {
     /// Gives the credit back, since no backend server got the request.
-    pub(super) fn give_back(self) {
+    pub(super) fn refund(self) {
         self.0.give_back();
     }
 }
@@ -27,7 +27,10 @@
     /// # Errors
     ///
     /// Refuses what is over the rate, with when there is credit again.
-    pub(super) async fn pay(&self, accepted: &Accepted) -> Result<Option<Paid>, Refusal> {
+    pub(super) async fn charge_credit(
+        &self,
+        accepted: &AcceptedRequest,
+    ) -> Result<Option<CreditCharge>, Refusal> {
         let Some(workspace) = &accepted.workspace else {
             return Ok(None);
         };
@@ -38,18 +41,18 @@
         credit.arrived();
         loop {
             // Made before looking, so that no answer in between is missed.
-            let mut told = std::pin::pin!(credit.told.notified());
-            told.as_mut().enable();
+            let mut notified = std::pin::pin!(credit.told.notified());
+            notified.as_mut().enable();
             let members = self.shared.ring().len();
-            let taken = self.shared.rates.take(&credit, limit, members);
-            let waits = taken == CreditDecision::AskCoordinator;
-            if let Some(asked) = self.shared.rates.begin_asking(&credit, waits) {
-                self.ask(workspace, &credit, asked);
+            let decision = self.shared.rates.take(&credit, limit, members);
+            let waits = decision == CreditDecision::AskCoordinator;
+            if let Some(query) = self.shared.rates.begin_asking(&credit, waits) {
+                self.query_coordinator(workspace, &credit, query);
             }
-            match taken {
-                CreditDecision::Admit => return Ok(Some(Paid(Arc::clone(&credit)))),
-                CreditDecision::Refuse(wait) => return Err(over(limit, wait)),
-                CreditDecision::AskCoordinator if credit.is_asking() => told.await,
+            match decision {
+                CreditDecision::Admit => return Ok(Some(CreditCharge(Arc::clone(&credit)))),
+                CreditDecision::Refuse(wait) => return Err(over_rate(limit, wait)),
+                CreditDecision::AskCoordinator if credit.is_asking() => notified.await,
                 // It has been answered just now.
                 CreditDecision::AskCoordinator => tokio::task::yield_now().await,
             }
@@ -57,14 +60,19 @@
     }
 
     /// Asks the coordinator, also if the request that needs it is given up.
-    fn ask(&self, workspace: &CallerWorkspace, credit: &Arc<Credit>, asked: CreditQuery) {
+    fn query_coordinator(
+        &self,
+        workspace: &CallerWorkspace,
+        credit: &Arc<Credit>,
+        query: CreditQuery,
+    ) {
         let (shared, pool) = (Arc::clone(&self.shared), Arc::clone(&self.pool));
         let (name, credit) = (workspace.name.clone(), Arc::clone(credit));
-        tokio::spawn(ask_for_credit(shared, pool, name, credit, asked));
+        tokio::spawn(ask_for_credit(shared, pool, name, credit, query));
     }
 }
 
-fn over(limit: Limit, wait: std::time::Duration) -> Refusal {
+fn over_rate(limit: Limit, wait: std::time::Duration) -> Refusal {
     let detail = format!("{} and {} at once are used up", limit.rate, limit.burst);
     let mut refusal = Attempt::plan().refuse(Reason::OverRate, detail);
     refusal.retry_after = Some(spread(wait));
--- a/src/entry/rejected.rs
+++ b/src/entry/rejection.rs
@@ -3,7 +3,7 @@
 use crate::call::Reason;
 
 /// A request that was not understood.
-pub(super) struct Rejected {
+pub(super) struct Rejection {
     /// Why.
     pub(super) reason: Reason,
     /// What is wrong, for people.
@@ -11,8 +11,8 @@
 }
 
 /// Makes one of a reason and what is wrong.
-pub(super) fn rejected(reason: Reason, detail: impl Into<Box<str>>) -> Rejected {
-    Rejected {
+pub(super) fn reject(reason: Reason, detail: impl Into<Box<str>>) -> Rejection {
+    Rejection {
         reason,
         detail: detail.into(),
     }
--- a/src/entry/again.rs
+++ b/src/entry/retry.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::forward::Forward;
+use super::forward::ForwardedCall;
 use crate::call::{Reason, Refusal, Scope};
 use crate::model::Verdict;
 use crate::policy::admission::Shed;
@@ -10,61 +10,61 @@
 
 /// Most guards that one call is refused by before it is given up; more would
 /// make refusals late.
-pub(super) const MAX_DETOURS: u32 = 3;
+pub(super) const MAX_GUARD_REFUSALS: u32 = 3;
 
 /// How often a call is asked again of backend servers that refused it. Where
 /// they refuse 55 in 100, as some do for seconds, fewer than one call in two
 /// hundred is refused that often in a row.
-const MAX_ASKED_AGAIN: u32 = 8;
+const MAX_REJECTION_RETRIES: u32 = 8;
 
-impl Forward<'_> {
+impl ForwardedCall<'_> {
     /// Weakens `not-run` where earlier attempts at the call may have run.
     ///
     /// Of a key that the caller may have sent before, elsewhere, only the
     /// instance that may start it can say that it was not run.
-    pub(super) fn weigh(&self, refusal: Refusal) -> Refusal {
-        let unsure = self.head().once.is_some()
-            && self.accepted.count != Some(1)
+    pub(super) fn weaken_verdict(&self, refusal: Refusal) -> Refusal {
+        let may_be_repeat = self.head().once.is_some()
+            && self.accepted.attempt_number != Some(1)
             && refusal.scope() == Scope::Attempt;
-        let earlier = if unsure {
+        let earlier = if may_be_repeat {
             Verdict::MayHaveRun
         } else {
-            self.earlier
+            self.earlier_verdict
         };
         refusal.after(earlier)
     }
 
     /// Decides on another attempt after one failed.
-    pub(super) fn again(&mut self, failed: &Refusal) -> bool {
+    pub(super) fn should_retry(&mut self, failed: &Refusal) -> bool {
         let head = &self.accepted.head;
         if failed.verdict() == Verdict::MayHaveRun {
-            self.earlier = Verdict::MayHaveRun;
+            self.earlier_verdict = Verdict::MayHaveRun;
         }
         if failed.arrived() {
-            self.sent += 1;
+            self.sent_count += 1;
         } else if head.once.is_none() {
-            return self.detour(failed);
+            return self.may_try_other_guard(failed);
         }
         // A lost once call is repeated at the same instance, whose ledger
         // keeps it from running twice.
-        let once_again = head.once.is_some()
+        let is_once_retry = head.once.is_some()
             && matches!(
                 failed.reason(),
                 Reason::Cut | Reason::Crashed | Reason::Unreachable
             );
-        if !once_again && !failed.reason().may_differ_elsewhere() {
+        if !is_once_retry && !failed.reason().may_differ_elsewhere() {
             return false;
         }
         // A call that every server has refused may be asked of them again; one
         // that may have run counts against the servers it may be sent to.
-        let most = match failed.reason() {
-            Reason::Rejected => self.accepted.attempts + MAX_ASKED_AGAIN,
-            _ => self.accepted.attempts,
+        let max_servers = match failed.reason() {
+            Reason::Rejected => self.accepted.max_servers + MAX_REJECTION_RETRIES,
+            _ => self.accepted.max_servers,
         };
-        if self.sent >= most {
+        if self.sent_count >= max_servers {
             return false;
         }
-        let verdict = if once_again {
+        let verdict = if is_once_retry {
             Verdict::NotRun
         } else {
             failed.verdict()
@@ -78,7 +78,7 @@
         let now = Instant::now();
         let (level, root) = (head.priority.level(), head.root);
         self.table(|table| {
-            self.purse.with(|account| {
+            self.retry_source.with_account(|account| {
                 decide_retry(failure, safety, account, || {
                     table.retry_budget().try_take(now, level, root)
                 })
@@ -88,16 +88,16 @@
 
     /// Decides whether a call that no backend server has seen is tried at
     /// another guard; that is no retry, since nothing was asked of a server.
-    fn detour(&mut self, failed: &Refusal) -> bool {
+    fn may_try_other_guard(&mut self, failed: &Refusal) -> bool {
         let reason = failed.reason();
         let elsewhere = reason.may_differ_elsewhere() || reason.is_overload();
-        self.detours += 1;
-        elsewhere && (self.detours <= MAX_DETOURS || self.may_wait_after(failed))
+        self.guard_refusals += 1;
+        elsewhere && (self.guard_refusals <= MAX_GUARD_REFUSALS || self.may_wait_after(failed))
     }
 
     /// Tells whether a call that found no room below the rate of a backend
     /// server may still wait there.
     pub(super) fn may_wait_after(&self, failed: &Refusal) -> bool {
-        !self.waits && failed.reason() == Reason::Shed(Shed::Limited)
+        !self.may_wait && failed.reason() == Reason::Shed(Shed::Limited)
     }
 }
--- a/src/entry/purse.rs
+++ b/src/entry/retry_source.rs
@@ -8,16 +8,16 @@
 use crate::tables::Held;
 
 /// The account that a call draws on: its parent's or its own.
-pub(super) enum Purse {
+pub(super) enum RetrySource {
     Own(Mutex<RetryAccount>),
     Parent(Arc<Held>),
 }
 
-impl Purse {
-    pub(super) fn with<T>(&self, use_it: impl FnOnce(&mut RetryAccount) -> T) -> T {
+impl RetrySource {
+    pub(super) fn with_account<T>(&self, f: impl FnOnce(&mut RetryAccount) -> T) -> T {
         match self {
-            Self::Own(account) => use_it(&mut account.lock()),
-            Self::Parent(held) => use_it(&mut held.account.lock()),
+            Self::Own(account) => f(&mut account.lock()),
+            Self::Parent(parent) => f(&mut parent.account.lock()),
         }
     }
 }
--- a/src/entry/place.rs
+++ b/src/entry/route_match.rs
@@ -3,14 +3,14 @@
 use http::header::HOST;
 use http::request::Parts;
 
-use super::rejected::{Rejected, rejected};
+use super::rejection::{Rejection, reject};
 use crate::call::Reason;
 use crate::declare::{Class, Estate, Route, Service};
 use crate::model::{ClassRank, Retries};
 use crate::tables::Splits;
 
 /// Where a request belongs.
-pub(super) struct Place<'e> {
+pub(super) struct RouteMatch<'e> {
     pub(super) service: &'e Service,
     pub(super) rank: ClassRank,
     pub(super) class: &'e Class,
@@ -18,9 +18,9 @@
     pub(super) route: Option<&'e Route>,
 }
 
-impl Place<'_> {
+impl RouteMatch<'_> {
     /// Returns the retries that a request of its own may use.
-    pub(super) fn retries(&self, class: &Class) -> Retries {
+    pub(super) fn max_retries(&self, class: &Class) -> Retries {
         match self.route {
             Some(route) if route.attempts <= 1 => Retries::new(0),
             Some(_) | None => class.retries,
@@ -28,7 +28,7 @@
     }
 
     /// Returns the most backend servers that a call may be sent to.
-    pub(super) fn attempts(&self, class: &Class) -> u32 {
+    pub(super) fn max_servers(&self, class: &Class) -> u32 {
         match self.route {
             Some(route) => route.attempts.max(1),
             None => class.retries.get() + 1,
@@ -37,37 +37,37 @@
 }
 
 /// Returns the host that a request names, without its port.
-pub(super) fn host(parts: &Parts) -> &str {
-    let named = || parts.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = parts.uri.host().or_else(named).unwrap_or_default();
+pub(super) fn request_host(parts: &Parts) -> &str {
+    let header = || parts.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = parts.uri.host().or_else(header).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
 /// Finds where a request belongs.
-pub(super) fn find<'e>(
+pub(super) fn match_request<'e>(
     parts: &Parts,
     estate: &'e Estate,
     splits: &Splits,
-) -> Result<Place<'e>, Rejected> {
+) -> Result<RouteMatch<'e>, Rejection> {
     if estate.routes.is_empty() {
-        by_host(parts, estate)
+        match_host(parts, estate)
     } else {
-        by_route(parts, estate, splits)
+        match_route(parts, estate, splits)
     }
 }
 
 /// Tells whether a safe request may run twice without harm.
 pub(super) fn may_repeat(parts: &Parts, estate: &Estate) -> bool {
     if !estate.routes.is_empty() {
-        let route = estate.route(host(parts), parts.uri.path());
+        let route = estate.route(request_host(parts), parts.uri.path());
         return route.is_some_and(|route| route.idempotent);
     }
-    by_host(parts, estate).is_ok_and(|place| place.class.once_key.is_none())
+    match_host(parts, estate).is_ok_and(|matched| matched.class.once_key.is_none())
 }
 
 /// Finds the service by the first label of the host.
-fn by_host<'e>(parts: &Parts, estate: &'e Estate) -> Result<Place<'e>, Rejected> {
-    let host = host(parts);
+fn match_host<'e>(parts: &Parts, estate: &'e Estate) -> Result<RouteMatch<'e>, Rejection> {
+    let host = request_host(parts);
     let label = host.split('.').next().unwrap_or_default();
     let service = estate
         .services
@@ -76,10 +76,10 @@
         .map(|(_, service)| service)
         .ok_or_else(|| {
             let detail = format!("Host \"{host}\" names no service; write SERVICE or SERVICE.any");
-            rejected(Reason::NoSuchService, detail)
+            reject(Reason::NoSuchService, detail)
         })?;
     let (rank, class) = estate.classify(service, parts.method.as_str(), parts.uri.path());
-    Ok(Place {
+    Ok(RouteMatch {
         service,
         rank,
         class,
@@ -87,20 +87,24 @@
     })
 }
 
-fn by_route<'e>(parts: &Parts, estate: &'e Estate, splits: &Splits) -> Result<Place<'e>, Rejected> {
-    let (host, path) = (host(parts), parts.uri.path());
-    let unknown = |what: String| rejected(Reason::NoSuchService, what);
+fn match_route<'e>(
+    parts: &Parts,
+    estate: &'e Estate,
+    splits: &Splits,
+) -> Result<RouteMatch<'e>, Rejection> {
+    let (host, path) = (request_host(parts), parts.uri.path());
+    let unknown = |detail: String| reject(Reason::NoSuchService, detail);
     let route = estate
         .route(host, path)
         .ok_or_else(|| unknown(format!("no route of host \"{host}\" begins the path")))?;
     let share = splits.choose(route);
     let service = share
         .and_then(|share| estate.services.get(&share.service))
-        .ok_or_else(|| rejected(Reason::Unreachable, "the route leads to no service"))?;
+        .ok_or_else(|| reject(Reason::Unreachable, "the route leads to no service"))?;
     let (rank, class) = estate
         .class(route.class.as_str())
-        .ok_or_else(|| rejected(Reason::Unreachable, "the route's class is not declared"))?;
-    Ok(Place {
+        .ok_or_else(|| reject(Reason::Unreachable, "the route's class is not declared"))?;
+    Ok(RouteMatch {
         service,
         rank,
         class,
--- a/src/entry/choice.rs
+++ b/src/entry/target.rs
@@ -2,8 +2,8 @@
 
 use tokio::time::Instant;
 
-use super::again::MAX_DETOURS;
-use super::forward::Forward;
+use super::forward::ForwardedCall;
+use super::retry::MAX_GUARD_REFUSALS;
 use crate::call::{Attempt, Planned, Reason, Refusal};
 use crate::guard::refuse_quarantined;
 use crate::model::Instance;
@@ -12,9 +12,9 @@
 use crate::policy::once::{Destination, OnceRefusal};
 use crate::policy::route::{CallNeeds, Pick, Table};
 
-impl Forward<'_> {
+impl ForwardedCall<'_> {
     /// Chooses where an attempt goes, or says why nowhere.
-    pub(super) fn target(
+    pub(super) fn choose_target(
         &mut self,
         attempt: Attempt<Planned>,
     ) -> Result<(Attempt<Planned>, Instance), Refusal> {
@@ -22,13 +22,13 @@
         if Instant::now() >= head.deadline {
             return Err(attempt.refuse(Reason::Shed(Shed::Deadline), ""));
         }
-        if let Some(RunRestriction::Quarantined(left)) = self.standing() {
+        if let Some(RunRestriction::Quarantined(left)) = self.run_restriction() {
             return Err(refuse_quarantined(attempt, left));
         }
         if let Some(once) = &head.once {
             // No other instance may start it.
-            self.waits = true;
-            return match self.place(&once.key) {
+            self.may_wait = true;
+            return match self.destination(&once.key) {
                 Destination::Instance(instance) if self.may_reach(instance) => {
                     Ok((attempt, instance))
                 }
@@ -36,13 +36,13 @@
                 Destination::Refused(refuse) => Err(attempt.refuse_once(refuse)),
             };
         }
-        let want = self.want();
+        let needs = self.needs();
         let now = Instant::now();
-        let picked = self.table(|table| self.choose(table, now, want));
+        let picked = self.table(|table| self.pick_target(table, now, needs));
         match picked {
             Pick::Target(instance) => Ok((attempt, instance)),
             Pick::Wait(instance) => {
-                self.waits = true;
+                self.may_wait = true;
                 Ok((attempt, instance))
             }
             Pick::Refused(_) => Err(self.refuse(now, attempt)),
@@ -56,25 +56,27 @@
         let shed = wait.map_or(Shed::Overload, |_| Shed::Limited);
         let mut refusal = attempt.refuse(Reason::Shed(shed), "");
         let soonest = wait.unwrap_or_default();
-        refusal.retry_after = Some(self.context.retry_after().max(soonest));
+        refusal.retry_after = Some(self.context.random_retry_after().max(soonest));
         refusal
     }
 
     /// Chooses a target; once the call has been sent to as many backend servers
     /// as it may, one of those that refused it without running it.
-    fn choose(&self, table: &mut Table, now: Instant, want: CallNeeds) -> Pick {
-        if self.rejected_by.len() >= self.accepted.attempts as usize {
-            return table.choose_among(now, &self.rejected_by);
+    fn pick_target(&self, table: &mut Table, now: Instant, needs: CallNeeds) -> Pick {
+        if self.rejecting_servers.len() >= self.accepted.max_servers as usize {
+            return table.choose_among(now, &self.rejecting_servers);
         }
-        let picked = match table.choose_except(now, want, &self.tried, &mut rand::rng()) {
-            Pick::NoTarget if !self.rejected_by.is_empty() => {
-                table.choose_among(now, &self.rejected_by)
+        let picked = match table.choose_except(now, needs, &self.tried_targets, &mut rand::rng()) {
+            Pick::NoTarget if !self.rejecting_servers.is_empty() => {
+                table.choose_among(now, &self.rejecting_servers)
             }
             picked => picked,
         };
         match picked {
             // No more guards are to send it elsewhere.
-            Pick::Target(instance) if self.detours >= MAX_DETOURS => Pick::Wait(instance),
+            Pick::Target(instance) if self.guard_refusals >= MAX_GUARD_REFUSALS => {
+                Pick::Wait(instance)
+            }
             picked => picked,
         }
     }
@@ -88,15 +90,15 @@
     }
 
     /// Returns what may be done with the request by what is known of crashes.
-    fn standing(&self) -> Option<RunRestriction> {
+    fn run_restriction(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
         Some(self.context.shared.suspects.standing(request))
     }
 
-    fn want(&self) -> CallNeeds {
+    fn needs(&self) -> CallNeeds {
         CallNeeds {
             level: self.head().priority.level(),
-            protected: self.accepted.protected,
+            protected: self.accepted.is_protected,
             avoid: None,
         }
     }
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -211,7 +211,7 @@
             Ok(service) => service,
             Err(e) => return answer_text(StatusCode::BAD_REQUEST, format!("{e}")),
         };
-        match self.entry.issue(&service) {
+        match self.entry.issue_ticket(&service) {
             Some(key) => {
                 let key = key.to_string().into();
                 answer_json(StatusCode::OK, &TicketAnswer { key })
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -39,7 +39,7 @@
     Server { vm, _listening }
 }
 
-fn pace(entry: &Vm, server: &Server) -> Option<f64> {
+fn latency_ratio(entry: &Vm, server: &Server) -> Option<f64> {
     let service = "svc".parse().expect("a name");
     let table = entry.daemon.shared().routes.table(&service);
     let at = server.vm.daemon.shared().instance;
@@ -51,7 +51,10 @@
 #[case::by_time("balance: auto\n", true)]
 #[case::by_load("", false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn entry_learns_speed_of_answers_alone(#[case] line: &str, #[case] learns: bool) {
+async fn entry_records_latency_of_successful_answers_only(
+    #[case] line: &str,
+    #[case] learns: bool,
+) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 0.8));
     let failing = server(address, StatusCode::INTERNAL_SERVER_ERROR, 0).await;
@@ -70,8 +73,8 @@
         let id = format!("r{n}");
         entry.ask(Method::GET, "/read/x", &id).await;
     }
-    assert_eq!(pace(&entry, &failing), None);
-    let (slow, quick) = (pace(&entry, &slow), pace(&entry, &quick));
+    assert_eq!(latency_ratio(&entry, &failing), None);
+    let (slow, quick) = (latency_ratio(&entry, &slow), latency_ratio(&entry, &quick));
     assert_eq!((slow.is_some(), quick.is_some()), (learns, learns));
     assert!(
         slow.unwrap_or(1.5) > quick.unwrap_or(1.0),
--- a/tests/workspace_rates.rs
+++ b/tests/workspace_rates.rs
@@ -11,11 +11,11 @@
 use support::hosted::{Vm, keyed_document, store, vm};
 
 /// Five requests a second and five at once.
-const FIVE: &str = r#"{"north":{"apiKeys":["key-north"],"ratePerS":5,"burst":5},
+const FIVE_PER_S: &str = r#"{"north":{"apiKeys":["key-north"],"ratePerS":5,"burst":5},
     "south":{"apiKeys":["key-south"]}}"#;
 
 /// Requests that are tolerated beyond rate and burst, by the settings' default.
-const SLACK: f64 = 10.0;
+const TOLERATED_REQUESTS: f64 = 10.0;
 
 async fn estate(
     workspaces: &str,
@@ -50,16 +50,16 @@
 }
 
 #[tokio::test]
-async fn rate_holds_over_all_daemons_and_refusals_are_true() {
-    let (vms, _listening, _rows) = estate(FIVE).await;
+async fn rate_holds_across_daemons_and_refusals_name_retry_time() {
+    let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
     let began = Instant::now();
     let (mut served, mut refused) = (0, 0);
     while began.elapsed() < Duration::from_secs(3) {
-        let asked = vms
+        let requests = vms
             .iter()
             .map(|vm| vm.ask_with(Method::GET, "/read/x", "r1", &key));
-        for answer in join_all(asked).await {
+        for answer in join_all(requests).await {
             match answer.status {
                 StatusCode::OK => served += 1,
                 StatusCode::TOO_MANY_REQUESTS => {
@@ -73,7 +73,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + SLACK;
+    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
     assert!(f64::from(served) <= allowed, "{served} of {allowed}");
     assert!(
         served >= 5 * 3 - 5,
@@ -87,8 +87,8 @@
 }
 
 #[tokio::test]
-async fn workspace_without_a_rate_is_bound_by_none() {
-    let (vms, _listening, _rows) = estate(FIVE).await;
+async fn workspace_without_rate_is_unlimited() {
+    let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-south")];
     for _ in 0..60 {
         let answer = vms[0].ask_with(Method::GET, "/read/x", "r1", &key).await;
@@ -97,16 +97,16 @@
 }
 
 #[tokio::test]
-async fn rate_is_that_of_the_version_in_force() {
-    let (vms, _listening, rows) = estate(FIVE).await;
+async fn rate_follows_configuration_in_force() {
+    let (vms, _listening, rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
-    let more = FIVE.replace(r#""ratePerS":5,"burst":5"#, r#""ratePerS":500,"burst":500"#);
+    let more = FIVE_PER_S.replace(r#""ratePerS":5,"burst":5"#, r#""ratePerS":500,"burst":500"#);
     rows.put("op", "config", &keyed_document(8, "svc", &more));
     support::eventually("the new version", || async {
-        let told = vms
+        let is_applied = vms
             .iter()
             .all(|vm| vm.daemon.shared().current.version().get() == 8);
-        told.then_some(())
+        is_applied.then_some(())
     })
     .await;
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -120,8 +120,8 @@
 
 /// What no backend server got costs the workspace nothing.
 #[tokio::test]
-async fn refused_for_other_reasons_is_given_back() {
-    let (vms, _listening, _rows) = estate(FIVE).await;
+async fn refusal_for_other_reason_refunds_credit() {
+    let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
     for _ in 0..60 {
         let answer = vms[0].ask_with(Method::GET, "/read/shed", "r1", &key).await;
@@ -133,8 +133,8 @@
 /// The coordinator of the workspace ends; the others go on at their shares, and
 /// do not hold requests for it.
 #[tokio::test]
-async fn rate_holds_when_a_daemon_ends() {
-    let (mut vms, _listening, _rows) = estate(FIVE).await;
+async fn rate_holds_after_coordinator_is_killed() {
+    let (mut vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
     // A coordinator that has just become it does not know what another has lent.
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -145,11 +145,11 @@
     let name = "north".parse().expect("a name");
     let coordinator = vms[0].daemon.shared().ring().coordinator(&name);
     let address = coordinator.expect("a coordinator").address;
-    let place = vms
+    let index = vms
         .iter()
         .position(|vm| vm.daemon.shared().instance.address == address);
-    let ended = vms.remove(place.expect("a VM"));
-    ended.daemon.kill();
+    let killed = vms.remove(index.expect("a VM"));
+    killed.daemon.kill();
     let began = Instant::now();
     let mut served = 0;
     while began.elapsed() < Duration::from_secs(4) {
@@ -164,6 +164,6 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     assert!(served >= 3, "{served} served while the coordinator is gone");
-    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + SLACK;
+    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
     assert!(f64::from(served) <= allowed, "{served} of {allowed}");
 }
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -9,7 +9,7 @@
 use support::eventually;
 use support::hosted::{Vm, keyed_document, store, vm};
 
-const TWO: &str = r#"{"north":{"apiKeys":["key-north-1","key-north-2"],"priority":1},
+const TWO_WORKSPACES: &str = r#"{"north":{"apiKeys":["key-north-1","key-north-2"],"priority":1},
     "south_2":{"apiKeys":["key-south"],"priority":1}}"#;
 
 async fn started(workspaces: &str) -> (Vm, impl Sized, std::sync::Arc<support::rows::RowsStandIn>) {
@@ -26,8 +26,11 @@
 #[case::second_key("key-north-2", "north")]
 #[case::other_workspace("key-south", "south_2")]
 #[tokio::test]
-async fn key_names_the_workspace_and_stays_here(#[case] key: &str, #[case] workspace: &str) {
-    let (vm, _listening, _rows) = started(TWO).await;
+async fn api_key_sets_tenant_header_and_is_not_forwarded(
+    #[case] key: &str,
+    #[case] workspace: &str,
+) {
+    let (vm, _listening, _rows) = started(TWO_WORKSPACES).await;
     let sent = [("api-key", key), ("x-tenant", "forged"), ("x-kept", "1")];
     let answer = vm.ask_with(Method::GET, "/read/x", "r1", &sent).await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -48,12 +51,12 @@
 #[case::public_with_unknown_key("/open/x", &[("api-key", "nobody's")], 200)]
 #[case::no_route("/nothing/x", &[("api-key", "key-south")], 404)]
 #[tokio::test]
-async fn key_decides_who_may_call(
+async fn api_key_decides_who_may_call(
     #[case] path: &str,
     #[case] sent: &[(&'static str, &str)],
     #[case] status: u16,
 ) {
-    let (vm, _listening, _rows) = started(TWO).await;
+    let (vm, _listening, _rows) = started(TWO_WORKSPACES).await;
     let answer = vm.ask_with(Method::GET, path, "r1", sent).await;
     assert_eq!(answer.status.as_u16(), status);
     let heads = vm.seen.heads.lock().clone();
@@ -65,13 +68,13 @@
 }
 
 #[tokio::test]
-async fn key_is_asked_for_only_with_a_configuration() {
+async fn request_without_configuration_is_unavailable() {
     let (address, rows, _listening) = store().await;
     let vm = vm("svc", address).await;
     let sent = [("api-key", "key-south")];
     let answer = vm.ask_with(Method::GET, "/read/x", "r1", &sent).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    rows.put("op", "config", &keyed_document(7, "svc", TWO));
+    rows.put("op", "config", &keyed_document(7, "svc", TWO_WORKSPACES));
     vm.wait_ready().await;
 }
 
@@ -80,8 +83,8 @@
 #[case::workspace_gone(r#"{"south_2":{"apiKeys":["key-south"]}}"#)]
 #[case::all_gone("{}")]
 #[tokio::test]
-async fn key_that_is_taken_away_opens_nothing(#[case] later: &str) {
-    let (vm, _listening, rows) = started(TWO).await;
+async fn removed_api_key_is_refused(#[case] later: &str) {
+    let (vm, _listening, rows) = started(TWO_WORKSPACES).await;
     let sent = [("api-key", "key-north-1")];
     let asked = || vm.ask_with(Method::GET, "/read/x", "r1", &sent);
     assert_eq!(asked().await.status, StatusCode::OK);
@@ -91,7 +94,7 @@
     })
     .await;
     // An older version that comes late brings it back to nobody.
-    rows.put("op", "config", &keyed_document(7, "svc", TWO));
+    rows.put("op", "config", &keyed_document(7, "svc", TWO_WORKSPACES));
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     assert_eq!(asked().await.status, StatusCode::UNAUTHORIZED);
 }
