--- a/benches/members.rs
+++ b/benches/members.rs
@@ -12,7 +12,7 @@
 };
 use bramleymount::policy::rate::HashRing;
 use bramleymount::policy::route::Balance;
-use bramleymount::tables::Routes;
+use bramleymount::tables::TargetTables;
 use tokio::time::Instant;
 
 const CENTRES: usize = 5;
@@ -43,7 +43,7 @@
         beat += 1;
         view.merge(now, of(members - 1, beat));
     });
-    let routes = Routes::new(centre(0), None, Balance::default());
+    let routes = TargetTables::new(centre(0), None, Balance::default());
     [
         change,
         micros(|| {
--- a/src/bin/bramleyctl/controller.rs
+++ b/src/bin/bramleyctl/controller.rs
@@ -10,7 +10,7 @@
 use bramleymount::operator::{
     ApplyRequest, ApplyResult, ConfigAnswer, HistoryEntry, StatusAnswer, TicketAnswer, TopAnswer,
 };
-use bramleymount::tables::Note;
+use bramleymount::tables::JournalEntry;
 use serde::Serialize;
 
 use crate::args::{Apply, Args, Check, Command, Diff, Drain, Explain, Rollback, Ticket, Top};
@@ -229,7 +229,7 @@
 
 async fn explain(args: &Explain, json: bool) -> Result<End, Failed> {
     let path = format!("explain/{}", args.call);
-    let notes: Vec<Note> = Remote::new(args.to).get(&path).await?;
+    let notes: Vec<JournalEntry> = Remote::new(args.to).get(&path).await?;
     show(json, &notes, || printer::notes(&notes))
 }
 
--- a/src/bin/bramleyctl/printer.rs
+++ b/src/bin/bramleyctl/printer.rs
@@ -4,7 +4,7 @@
 
 use bramleymount::metrics::Row;
 use bramleymount::operator::{HistoryEntry, StatusAnswer, TopAnswer};
-use bramleymount::tables::Note;
+use bramleymount::tables::JournalEntry;
 
 /// Lays members out by data centre and service.
 pub(crate) fn status(answer: &StatusAnswer) -> String {
@@ -63,7 +63,7 @@
 }
 
 /// Lists what was decided on a call.
-pub(crate) fn notes(notes: &[Note]) -> String {
+pub(crate) fn notes(notes: &[JournalEntry]) -> String {
     let Some(first) = notes.first() else {
         return "nothing is known here of this call; ask the daemon that took it\n".into();
     };
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -29,12 +29,12 @@
 use crate::policy::rate::RateTolerance;
 use crate::store::{Feed, HttpPlatform, Platform};
 use crate::tables::{
-    Calls, Current, Decisions, Homes, Journal, Notices, Rates, Readiness, Routes, Shared, Splits,
-    Suspects, unix_ms,
+    CallJournal, CallLogLimiter, CurrentConfiguration, OwnershipTable, ParentCalls, Readiness,
+    RouteSplits, ServerNotices, Shared, SuspectTable, TargetTables, WorkspaceRates, unix_ms,
 };
 use crate::task::{
-    Stopping, gossip, keep_duty, keep_homes, keep_row, keep_suspects, poll, refresh, report, stop,
-    tell_demand, watch_lease,
+    StopParts, gossip, keep_member_row, keep_ownership, keep_store_role, keep_suspect_rows,
+    log_load, poll_configuration, refresh_targets, report_demand, stop, watch_lease,
 };
 use crate::web::{Listening, Running, caller_text, listen};
 
@@ -46,7 +46,7 @@
 
 /// A running daemon.
 pub struct Daemon {
-    stopping: Stopping,
+    stopping: StopParts,
     tasks: JoinSet<()>,
     callers: Listening,
     operators: Running,
@@ -112,28 +112,28 @@
         }
         let mut tasks = JoinSet::new();
         tasks.spawn(gossip(Arc::clone(&shared), Arc::clone(&pool)));
-        tasks.spawn(refresh(Arc::clone(&shared)));
-        tasks.spawn(keep_duty(Arc::clone(&shared)));
+        tasks.spawn(refresh_targets(Arc::clone(&shared)));
+        tasks.spawn(keep_store_role(Arc::clone(&shared)));
         tasks.spawn(watch_lease(Arc::clone(&shared), Arc::clone(&guard)));
-        tasks.spawn(report(Arc::clone(&shared), Arc::clone(&guard)));
-        tasks.spawn(keep_row(Arc::clone(&shared)));
-        tasks.spawn(keep_suspects(Arc::clone(&shared)));
-        tasks.spawn(tell_demand(Arc::clone(&shared), Arc::clone(&pool)));
+        tasks.spawn(log_load(Arc::clone(&shared), Arc::clone(&guard)));
+        tasks.spawn(keep_member_row(Arc::clone(&shared)));
+        tasks.spawn(keep_suspect_rows(Arc::clone(&shared)));
+        tasks.spawn(report_demand(Arc::clone(&shared), Arc::clone(&pool)));
         match feed {
             Some(feed) => {
                 let (shared, guard) = (Arc::clone(&shared), Arc::clone(&guard));
                 tasks.spawn(watch_configuration(shared, guard, feed));
             }
             None => {
-                tasks.spawn(poll(Arc::clone(&shared), Arc::clone(&guard)));
-                tasks.spawn(keep_homes(Arc::clone(&shared)));
+                tasks.spawn(poll_configuration(Arc::clone(&shared), Arc::clone(&guard)));
+                tasks.spawn(keep_ownership(Arc::clone(&shared)));
             }
         }
         let instance = shared.instance.to_string();
         let service = shared.config.service.as_str();
         spdlog::info!("daemon runs", kv: { instance = instance.as_str(), service });
         Ok(Self {
-            stopping: Stopping {
+            stopping: StopParts {
                 shared,
                 entry,
                 guard,
@@ -227,33 +227,33 @@
     let patience = patience(&config);
     Ok(Shared {
         instance,
-        current: Current::default(),
+        current: CurrentConfiguration::default(),
         view: Mutex::new(View::new(Instant::now(), own)),
-        homes: Homes::default(),
-        routes: Routes::new(config.centre.clone(), allowed, config.balance),
-        splits: Splits::default(),
+        ownership: OwnershipTable::default(),
+        targets: TargetTables::new(config.centre.clone(), allowed, config.balance),
+        route_splits: RouteSplits::default(),
         protocol,
-        calls: Arc::new(Calls::default()),
-        suspects: Suspects::default(),
-        notices: Notices::default(),
-        rates: Rates::new(
+        parent_calls: Arc::new(ParentCalls::default()),
+        suspects: SuspectTable::default(),
+        notices: ServerNotices::default(),
+        rates: WorkspaceRates::new(
             config
                 .hosting
                 .map_or_else(RateTolerance::default, |hosting| hosting.rates),
         ),
-        journal: Journal::default(),
-        decisions: Decisions::default(),
+        journal: CallJournal::default(),
+        log_limiter: CallLogLimiter::default(),
         metrics: Metrics::new(config.metrics)?,
         platform,
-        announced: Notify::new(),
-        news: Notify::new(),
-        grave: Notify::new(),
-        stale: Notify::new(),
-        duty: watch::Sender::new(StoreRole::None),
-        term: Mutex::new(RoleTracker::new(Instant::now(), patience)),
-        row: Mutex::default(),
+        lease_notify: Notify::new(),
+        gossip_notify: Notify::new(),
+        quarantine_notify: Notify::new(),
+        refresh_notify: Notify::new(),
+        store_role: watch::Sender::new(StoreRole::None),
+        role_tracker: Mutex::new(RoleTracker::new(Instant::now(), patience)),
+        member_row: Mutex::default(),
         readiness: Readiness::default(),
-        asks: Mutex::new(BTreeSet::new()),
+        pending_peers: Mutex::new(BTreeSet::new()),
         config,
     })
 }
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -17,14 +17,14 @@
 };
 use crate::policy::front::FrontOptions;
 use crate::policy::retry::RepeatSafety;
-use crate::tables::{Held, Shared};
+use crate::tables::{ParentCall, Shared};
 
 /// A request that was understood.
 pub(super) struct Accepted {
     /// What travels with the call.
     pub(super) head: CallHead,
     /// The call of the own backend server that this one serves, if any.
-    pub(super) parent: Option<Arc<Held>>,
+    pub(super) parent: Option<Arc<ParentCall>>,
     /// Whether the call may run twice.
     pub(super) safety: RepeatSafety,
     /// Retries of the request, if it has no parent.
@@ -62,8 +62,8 @@
 ) -> Result<Accepted, Rejected> {
     let wrong = |e| rejected(Reason::BadRequest, e);
     let facts = shared.protocol.read(parts).map_err(wrong)?;
-    let place = find(parts, estate, &shared.splits)?;
-    let parent = facts.parent.and_then(|id| shared.calls.get(id));
+    let place = find(parts, estate, &shared.route_splits)?;
+    let parent = facts.parent.and_then(|id| shared.parent_calls.get(id));
     let declared = estate.caller(from);
     let workspace = workspace(&facts, estate, &place, parent.as_deref())?;
     let (rank, class) = match (&parent, workspace) {
@@ -153,7 +153,7 @@
     facts: &Facts,
     estate: &'e Estate,
     place: &Place<'_>,
-    parent: Option<&Held>,
+    parent: Option<&ParentCall>,
 ) -> Result<Option<&'e Workspace>, Rejected> {
     let Some(workspaces) = &estate.workspaces else {
         return Ok(None);
@@ -177,7 +177,7 @@
 
 /// Tells whether the callers' own calls of a class to a service need no others.
 fn is_single(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
-    let table = shared.routes.table(service);
+    let table = shared.targets.table(service);
     let table = table.lock();
     table.is_single_call(rank)
 }
@@ -188,7 +188,7 @@
     facts: &Facts,
     place: &Place<'_>,
     (rank, class): (ClassRank, &Class),
-    parent: Option<&Held>,
+    parent: Option<&ParentCall>,
 ) -> Result<CallHead, Rejected> {
     let longest = place.route.map_or(class.deadline, |route| route.timeout);
     let timeout = match (facts.timeout, place.route) {
@@ -242,7 +242,7 @@
     service: &Service,
     class: &Class,
     estate: &Estate,
-    parent: Option<&Held>,
+    parent: Option<&ParentCall>,
 ) -> Result<Option<OnceCall>, Rejected> {
     let (_, own) = estate.classify(service, parts.method.as_str(), parts.uri.path());
     let declared = if parent.is_some() { own } else { class };
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -90,7 +90,7 @@
     /// Returns what may be done with the request by what is known of crashes.
     fn standing(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
-        Some(self.context.shared.suspects.standing(request))
+        Some(self.context.shared.suspects.restriction(request))
     }
 
     fn want(&self) -> CallNeeds {
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -18,7 +18,7 @@
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
 use crate::policy::route::Table;
-use crate::tables::{Detail, Step};
+use crate::tables::{CallStep, StepDetail};
 use crate::web::Payload;
 
 /// How a call ended, and how many retries it took here.
@@ -63,7 +63,7 @@
             context,
             purse,
             accepted,
-            targets: context.shared.routes.table(&accepted.head.service),
+            targets: context.shared.targets.table(&accepted.head.service),
             retries: 0,
             earlier: Verdict::NotRun,
             tried: Vec::new(),
@@ -107,7 +107,7 @@
                 refused,
                 failed,
             };
-            parent.met(met);
+            parent.record_onward(met);
         }
         Ended {
             result,
@@ -158,8 +158,8 @@
             }
             self.retries += 1;
             let journal = &self.context.shared.journal;
-            let reason = Detail::Word(failed.reason().as_str());
-            journal.note(self.head().call, Step::Retried, reason);
+            let reason = StepDetail::Word(failed.reason().as_str());
+            journal.record(self.head().call, CallStep::Retried, reason);
             last = Some(failed);
         }
     }
@@ -181,9 +181,9 @@
     ) -> Result<Reply, Refusal> {
         let loan = self.purse.with(RetryAccount::grant);
         let journal = &self.context.shared.journal;
-        journal.note(self.head().call, Step::Sent, Detail::Target(target));
+        journal.record(self.head().call, CallStep::Sent, StepDetail::Target(target));
         let sent = Sending::new(self, target);
-        let told = self.context.shared.notices.of(target.address);
+        let told = self.context.shared.notices.get(target.address);
         let result = if target == self.context.shared.instance {
             let call = self.call(attempt.id(), loan.retries, body, told);
             // On the heap, so that calls to other daemons need no room for it.
@@ -203,7 +203,7 @@
         if let Some(crash) = result.as_ref().err().and_then(|refusal| refusal.crash) {
             self.context
                 .shared
-                .note_crash(self.head().fingerprint, crash);
+                .record_crash(self.head().fingerprint, crash);
         }
         sent.report(&result);
         self.settle(loan, &result);
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -94,7 +94,7 @@
         };
         let now = Instant::now();
         let (service, rank) = (&accepted.head.service, accepted.head.priority.rank());
-        let table = self.shared.routes.table(service);
+        let table = self.shared.targets.table(service);
         let level = table.lock().demand(now).of(rank);
         let outlook = self.known.see(now, service, rank, level);
         let caller = RefusedCaller {
@@ -106,7 +106,7 @@
         };
         refusal.retry_after = Some(time);
         self.shared.metrics.count("callers_told_when");
-        if self.shared.decisions.may_log() {
+        if self.shared.log_limiter.try_take() {
             spdlog::info!("caller told when to return", kv: {
                 call = accepted.head.call.to_string().as_str(),
                 service = service.as_str(),
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -27,7 +27,7 @@
 use crate::policy::once::OnceRefusal;
 use crate::policy::retry::RepeatDetector;
 use crate::policy::route::TargetState;
-use crate::tables::{Detail, Shared, Step};
+use crate::tables::{CallStep, Shared, StepDetail};
 use crate::web::{CallerAnswer, Payload};
 
 /// The name in metrics of callers and classes that are not declared.
@@ -87,23 +87,29 @@
             }
         };
         let call = accepted.head.call;
-        shared.journal.note(call, Step::Entered, Detail::None);
+        shared
+            .journal
+            .record(call, CallStep::Entered, StepDetail::None);
         let ended = self.run_paid(&mut accepted, &parts, body).await;
         self.record(&accepted, &ended, came.elapsed());
         self.explain_end(answering.id(), &accepted, &ended, came.elapsed());
         match ended.result {
             Ok(reply) => {
-                shared
-                    .journal
-                    .note(call, Step::Answered, Detail::Status(reply.head.status));
+                shared.journal.record(
+                    call,
+                    CallStep::Answered,
+                    StepDetail::Status(reply.head.status),
+                );
                 answering.reply(call, reply)
             }
             Err(mut refusal) => {
                 self.context.set_backoff(&accepted, &mut refusal);
                 self.context.advise(&mut refusal);
-                shared
-                    .journal
-                    .note(call, Step::Refused, Detail::Word(refusal.reason().as_str()));
+                shared.journal.record(
+                    call,
+                    CallStep::Refused,
+                    StepDetail::Word(refusal.reason().as_str()),
+                );
                 let ticket = self.ticket(&accepted, &refusal);
                 answering.refusal(Some(call), &refusal, ticket.as_ref())
             }
@@ -132,7 +138,7 @@
         shared
             .metrics
             .ended(OTHER, OTHER, Ending::Failed, Duration::ZERO, 0);
-        if shared.decisions.may_log() {
+        if shared.log_limiter.try_take() {
             spdlog::info!("request not taken", kv: {
                 request = id,
                 outcome = reason,
@@ -255,7 +261,7 @@
             Ok(reply) => reply.head.status.is_server_error(),
             Err(_) => true,
         };
-        if !failed || !shared.decisions.may_log() {
+        if !failed || !shared.log_limiter.try_take() {
             return;
         }
         let head = &accepted.head;
@@ -303,7 +309,7 @@
 
     /// Issues a key bound to an instance of the service that takes calls.
     pub fn issue(&self, service: &ServiceName) -> Option<OnceKey> {
-        let table = self.context.shared.routes.table(service);
+        let table = self.context.shared.targets.table(service);
         let table = table.lock();
         let serving: Vec<_> = table
             .targets()
@@ -318,7 +324,7 @@
     }
 
     /// Returns the call ids that this entry has notes on.
-    pub fn explain(&self, call: CallId) -> Vec<crate::tables::Note> {
+    pub fn explain(&self, call: CallId) -> Vec<crate::tables::JournalEntry> {
         self.context.shared.journal.find(call)
     }
 }
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -8,7 +8,7 @@
 use crate::model::{Instance, OnceKey, Verdict};
 use crate::peer;
 use crate::policy::once::{Destination, OnceRefusal, destination};
-use crate::task::read_home;
+use crate::task::read_ownership;
 
 impl Forward<'_> {
     /// Reads the home row anew if nobody owns the key by the row known here.
@@ -25,7 +25,7 @@
             return Ok(());
         }
         let service = &self.head().service;
-        if !Box::pin(read_home(&self.context.shared, service)).await
+        if !Box::pin(read_ownership(&self.context.shared, service)).await
             || self.place(&once.key) != not_owned
         {
             return Ok(());
@@ -37,7 +37,7 @@
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
-        let home = shared.homes.get(service);
+        let home = shared.ownership.get(service);
         destination(key, home.as_ref().map(|home| &*home.row), &view, service)
     }
 
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -7,7 +7,7 @@
 use crate::call::Reason;
 use crate::declare::{Class, Estate, Route, Service};
 use crate::model::{ClassRank, Retries};
-use crate::tables::Splits;
+use crate::tables::RouteSplits;
 
 /// Where a request belongs.
 pub(super) struct Place<'e> {
@@ -47,7 +47,7 @@
 pub(super) fn find<'e>(
     parts: &Parts,
     estate: &'e Estate,
-    splits: &Splits,
+    splits: &RouteSplits,
 ) -> Result<Place<'e>, Rejected> {
     if estate.routes.is_empty() {
         by_host(parts, estate)
@@ -87,7 +87,11 @@
     })
 }
 
-fn by_route<'e>(parts: &Parts, estate: &'e Estate, splits: &Splits) -> Result<Place<'e>, Rejected> {
+fn by_route<'e>(
+    parts: &Parts,
+    estate: &'e Estate,
+    splits: &RouteSplits,
+) -> Result<Place<'e>, Rejected> {
     let (host, path) = (host(parts), parts.uri.path());
     let unknown = |what: String| rejected(Reason::NoSuchService, what);
     let route = estate
--- a/src/entry/purse.rs
+++ b/src/entry/purse.rs
@@ -5,12 +5,12 @@
 use parking_lot::Mutex;
 
 use crate::policy::retry::RetryAccount;
-use crate::tables::Held;
+use crate::tables::ParentCall;
 
 /// The account that a call draws on: its parent's or its own.
 pub(super) enum Purse {
     Own(Mutex<RetryAccount>),
-    Parent(Arc<Held>),
+    Parent(Arc<ParentCall>),
 }
 
 impl Purse {
--- a/src/entry/sending.rs
+++ b/src/entry/sending.rs
@@ -45,8 +45,8 @@
         };
         let notices = &self.forward.context.shared.notices;
         match (result, news.and_then(|news| news.told)) {
-            (_, Some(told)) => notices.hear(self.target.address, told),
-            (Ok(_), None) => notices.hear_none(self.target.address),
+            (_, Some(told)) => notices.record(self.target.address, told),
+            (Ok(_), None) => notices.record_none(self.target.address),
             // A guard that refuses may not have heard its server yet.
             (Err(_), None) => {}
         }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -42,7 +42,7 @@
     fn note_begun(&self, parts: &Parts) {
         let shared = &self.0.context.shared;
         shared.metrics.count("begun_ahead");
-        if shared.decisions.may_log() {
+        if shared.log_limiter.try_take() {
             let request = shared.protocol.id(&parts.headers);
             spdlog::info!("request begun ahead", kv: { request });
         }
--- a/src/guard/announcement.rs
+++ b/src/guard/announcement.rs
@@ -19,7 +19,7 @@
     pub fn renew_lease(&self, cold: bool) -> bool {
         let first = self.lease.lock().renew(Instant::now());
         if first {
-            self.shared.announced.notify_one();
+            self.shared.lease_notify.notify_one();
         }
         if first && cold {
             self.gate.reopen_cold(self.slots());
@@ -34,7 +34,7 @@
     pub fn receive_announcement(&self, announcement: &Announcement) -> AnnouncementEffect {
         let effect = self.presence.lock().announce(announcement);
         if effect != AnnouncementEffect::Renewed {
-            self.shared.announced.notify_one();
+            self.shared.lease_notify.notify_one();
         }
         match effect {
             AnnouncementEffect::Stale => {}
@@ -75,7 +75,7 @@
     pub fn record_goodbye(&self, server: &ServerId, born: Option<Born>) {
         if self.presence.lock().record_departure(server, born) {
             self.drain();
-            self.shared.announced.notify_one();
+            self.shared.lease_notify.notify_one();
         }
     }
 
@@ -108,7 +108,7 @@
             return;
         }
         *self.lease.lock() = Lease::absent();
-        self.shared.announced.notify_one();
+        self.shared.lease_notify.notify_one();
     }
 
     /// Refuses new calls for good, since the daemon stops.
--- a/src/guard/crash.rs
+++ b/src/guard/crash.rs
@@ -65,7 +65,7 @@
         spdlog::warn!("backend server crashed", kv: {
             server = server.as_ref().map_or("", |server| server.as_str()),
             crash = crash.to_string().as_str(),
-            calls = self.shared.calls.len()
+            calls = self.shared.parent_calls.len()
         });
     }
 }
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -83,12 +83,12 @@
             return;
         }
         self.drain();
-        self.shared.announced.notify_one();
+        self.shared.lease_notify.notify_one();
         self.log_notice("leaves", None);
     }
 
     fn log_notice(&self, what: &str, before: Option<Rate>) {
-        if !self.shared.decisions.may_log() {
+        if !self.shared.log_limiter.try_take() {
             return;
         }
         let text = |rate: Option<Rate>| rate.map_or("any".to_owned(), |rate| rate.to_string());
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -10,11 +10,11 @@
 use crate::call::{Attempt, Reason, Refusal, Reply, ReplyHead, Sent};
 use crate::model::{GuardNews, Retries};
 use crate::policy::admission::Outcome;
-use crate::tables::{Held, HeldCall};
+use crate::tables::{ParentCall, ParentCallGuard};
 use crate::web::{Chunks, Payload};
 
 impl Guard {
-    pub(super) fn close_call(&self, mut refusal: Refusal, held: &HeldCall) -> Refusal {
+    pub(super) fn close_call(&self, mut refusal: Refusal, held: &ParentCallGuard) -> Refusal {
         refusal.account = held.close();
         refusal
     }
@@ -23,7 +23,7 @@
         &self,
         attempt: Attempt<Sent>,
         error: &BackendError,
-        held: &HeldCall,
+        held: &ParentCallGuard,
     ) -> Refusal {
         let refusal = match error {
             BackendError::Connect(cause) | BackendError::NoListener(cause) => attempt
@@ -58,12 +58,12 @@
     pub(super) fn record_end(
         &self,
         slot: &mut SlotPermit,
-        held: &Held,
+        held: &ParentCall,
         status: StatusCode,
     ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        let met = held.take_met();
+        let met = held.take_onward_outcomes();
         let answered = !status.is_server_error();
         let refused = met.iter().any(|met| met.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
@@ -87,7 +87,7 @@
         answer: ServerAnswer,
         onward: bool,
         slot: SlotPermit,
-        held: HeldCall,
+        held: ParentCallGuard,
     ) -> Reply {
         let mut head = ReplyHead {
             status: answer.status,
@@ -117,7 +117,7 @@
         length: Option<u64>,
         first: Bytes,
         rest: Incoming,
-        guards: (SlotPermit, HeldCall),
+        guards: (SlotPermit, ParentCallGuard),
     ) -> Payload {
         let (sender, chunks) = Chunks::channel();
         self.handle.spawn(async move {
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -16,7 +16,7 @@
     Claim, ClaimCheck, Nonce, OnceRefusal, StoredAnswer, check_claim, check_owner, claim_row_key,
 };
 use crate::store::{Condition, Settled, settle};
-use crate::tables::{Held, mint_now};
+use crate::tables::{ParentCall, mint_now};
 use crate::web::Payload;
 
 /// How long the outcome of a once call is waited for after its deadline.
@@ -125,7 +125,7 @@
     }
 
     fn authority(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
-        let home = self.shared.homes.get(self.service());
+        let home = self.shared.ownership.get(self.service());
         let row = home.as_ref().map(|home| &*home.row);
         check_owner(key, self.shared.instance, row)
     }
@@ -167,7 +167,10 @@
             let done = not_started(refused.refuse(attempt).of_key());
             return self.once.finish_run(&key, LedgerUpdate::Release, done);
         }
-        let held = self.shared.calls.hold(head.call, Held::new(&head));
+        let held = self
+            .shared
+            .parent_calls
+            .register(head.call, ParentCall::new(&head));
         let attempt = attempt.send();
         let limit = head.deadline + OUTCOME_GRACE;
         let sent = tokio::time::timeout_at(limit, self.request_whole(&head, body)).await;
--- a/src/guard/run_permit.rs
+++ b/src/guard/run_permit.rs
@@ -111,7 +111,7 @@
     }
 
     fn restriction(&self, head: &CallHead) -> RunRestriction {
-        let of = |request| self.shared.suspects.standing(request);
+        let of = |request| self.shared.suspects.restriction(request);
         head.fingerprint.map_or(RunRestriction::Unrestricted, of)
     }
 }
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -17,7 +17,7 @@
 use crate::policy::admission::{Settings, Shed, usable_slots};
 use crate::policy::member::Presence;
 use crate::policy::once::LedgerLimits;
-use crate::tables::{Detail, Held, Shared, Step};
+use crate::tables::{CallStep, ParentCall, Shared, StepDetail};
 use crate::web::Payload;
 
 /// Slots of a backend server whose service is not declared yet.
@@ -197,10 +197,10 @@
         let result = self.gate.acquire_slot(head).await;
         let journal = &self.shared.journal;
         match &result {
-            Ok(_) => journal.note(head.call, Step::Started, Detail::None),
+            Ok(_) => journal.record(head.call, CallStep::Started, StepDetail::None),
             Err(shed) => {
                 self.shared.metrics.count_reason("shed", shed.as_str());
-                journal.note(head.call, Step::Shed, Detail::Word(shed.as_str()));
+                journal.record(head.call, CallStep::Shed, StepDetail::Word(shed.as_str()));
             }
         }
         result
@@ -237,7 +237,10 @@
         if let Err(refused) = self.check_not_quarantined(&head) {
             return Err(self.return_retries(refused.refuse(attempt), head.account));
         }
-        let held = self.shared.calls.hold(head.call, Held::new(&head));
+        let held = self
+            .shared
+            .parent_calls
+            .register(head.call, ParentCall::new(&head));
         let attempt = attempt.send();
         let result = tokio::time::timeout_at(head.deadline, self.request(&head, body)).await;
         let answer = match result {
--- a/src/guard/server_request.rs
+++ b/src/guard/server_request.rs
@@ -42,7 +42,7 @@
         match self.send(head, body, server.as_ref()).await {
             Err(BackendError::ConnectionLost(cause)) => match self.detect_crash(sent_at).await {
                 Some(crash) => {
-                    self.shared.note_own_crash(head.fingerprint, crash);
+                    self.shared.record_own_crash(head.fingerprint, crash);
                     self.record_run_end(server.as_ref());
                     Err(BackendError::Crashed(crash))
                 }
@@ -53,7 +53,7 @@
                 Err(BackendError::NoListener(cause))
             }
             Ok(answer) if answer.is_final() => {
-                self.shared.note_answer(head.fingerprint);
+                self.shared.record_answer(head.fingerprint);
                 Ok(answer)
             }
             result => result,
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -105,7 +105,7 @@
             _ if member.state >= MemberState::Silent => None,
             other => version_of(&self.shared, &self.pool, other).await,
         };
-        let table = self.shared.routes.table(&member.service);
+        let table = self.shared.targets.table(&member.service);
         let pace = table.lock().latency_ratio(Instant::now(), member.instance);
         MemberLine {
             instance: member.instance,
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -60,7 +60,7 @@
 ) -> Option<Answer> {
     let own = shared.instance.address;
     if coordinator.address == own {
-        return shared.lend(workspace, own, asked).map(Answer::Lent);
+        return shared.grant_credit(workspace, own, asked).map(Answer::Lent);
     }
     let request = wire::CreditRequest {
         workspace: workspace.to_string(),
@@ -116,7 +116,7 @@
         demand: amount(request.demand),
         local_admits: amount(request.alone),
     };
-    match shared.lend(&workspace, from, asked) {
+    match shared.grant_credit(&workspace, from, asked) {
         None => unknown,
         Some(lent) => wire::CreditReply {
             credit: lent.credit,
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -4,10 +4,10 @@
 use crate::error::Error;
 use crate::model::{ServiceName, Slots};
 use crate::policy::member::{Incarnation, Member};
-use crate::tables::Home;
+use crate::tables::StoredOwnership;
 
 /// Writes a home row.
-pub(super) fn home_out((service, home): &(ServiceName, Home)) -> wire::HomeRow {
+pub(super) fn home_out((service, home): &(ServiceName, StoredOwnership)) -> wire::HomeRow {
     wire::HomeRow {
         key: service.to_string(),
         revision: home.revision.0,
--- a/src/peer/news.rs
+++ b/src/peer/news.rs
@@ -52,19 +52,19 @@
         .from
         .parse()
         .map_err(|e: Error| ExchangeError(e.to_string().into()))?;
-    shared.term.lock().record_answer(Instant::now());
+    shared.role_tracker.lock().record_answer(Instant::now());
     let members = read_members(&answer.members);
     if members.len() < FIRST_PAGE {
         // The neighbour has told all that it knows.
-        shared.readiness.found();
+        shared.readiness.set_members_known();
     }
     let known = take_members(shared, |view, now| {
         view.merge_reply(now, members.into_iter(), sent.members)
     });
     let same = shared.view.lock().digest() == answer.digest;
     take_homes(shared, &answer.homes);
-    shared.take_suspects(&suspects_in(&answer.suspects));
-    if shared.current.offer(Version::new(answer.version)) == VersionDecision::Apply {
+    shared.merge_suspects(&suspects_in(&answer.suspects));
+    if shared.current.decide(Version::new(answer.version)) == VersionDecision::Apply {
         fetch(shared, pool, address, &answer).await?;
     }
     let told = SyncPosition {
@@ -97,7 +97,7 @@
         homes_seen: u64::MAX,
         suspects_seen: u64::MAX,
         seen_of: instance.to_string(),
-        homes_digest: shared.homes.digest(),
+        homes_digest: shared.ownership.digest(),
         ..Default::default()
     };
     let mut client = pool.fresh(instance.address)?;
@@ -113,8 +113,8 @@
 }
 
 fn request(shared: &Shared, told: SyncPosition) -> (wire::ExchangeRequest, Sent) {
-    let (suspects, suspects_change) = shared.suspects.changed(told.suspects_sent);
-    let homes_digest = shared.homes.digest();
+    let (suspects, suspects_change) = shared.suspects.changes_since(told.suspects_sent);
+    let homes_digest = shared.ownership.digest();
     let version = shared.current.version().get();
     let view = shared.view.lock();
     let page = view.page(told.sent.unwrap_or_default(), PAGE, &[]);
@@ -160,7 +160,9 @@
     for home in homes {
         let service: Result<ServiceName, _> = home.key.parse();
         if let (Ok(service), Ok(row)) = (service, OwnershipRow::decode(&home.content)) {
-            shared.homes.take(&service, Revision(home.revision), row);
+            shared
+                .ownership
+                .update(&service, Revision(home.revision), row);
         }
     }
 }
@@ -169,7 +171,7 @@
 pub(super) fn answer(shared: &Shared, request: &wire::ExchangeRequest) -> wire::ExchangeReply {
     let (reply, worth) = reply(shared, request);
     if worth && let Ok(from) = request.from.parse::<Instance>() {
-        shared.ask_later(from.address);
+        shared.query_later(from.address);
     }
     reply
 }
@@ -181,7 +183,7 @@
     take_members(shared, |view, now| {
         view.merge_all(now, told.iter().cloned())
     });
-    shared.take_suspects(&suspects_in(&request.suspects));
+    shared.merge_suspects(&suspects_in(&request.suspects));
     let in_force = shared.current.get();
     let version = shared.current.version();
     let sender = Version::new(request.version);
@@ -193,8 +195,8 @@
             ChangeCount::default()
         }
     };
-    let (homes, homes_change) = shared.homes.changed(since(request.homes_seen));
-    let (suspects, suspects_change) = shared.suspects.changed(since(request.suspects_seen));
+    let (homes, homes_change) = shared.ownership.changes_since(since(request.homes_seen));
+    let (suspects, suspects_change) = shared.suspects.changes_since(since(request.suspects_seen));
     let view = shared.view.lock();
     let most = if known { PAGE } else { FIRST_PAGE };
     let page = view.page(since(request.seen), most, &told);
@@ -216,6 +218,6 @@
     };
     drop(view);
     let asks = request.want.is_empty();
-    let worth = sender > version || request.homes_digest != shared.homes.digest();
+    let worth = sender > version || request.homes_digest != shared.ownership.digest();
     (reply, asks && worth)
 }
--- a/src/peer/rollout.rs
+++ b/src/peer/rollout.rs
@@ -10,7 +10,7 @@
 use super::pool::Pool;
 use crate::declare::{Document, DocumentName, Manifest};
 use crate::error::Error;
-use crate::tables::{InForce, Shared};
+use crate::tables::{ActiveConfiguration, Shared};
 
 /// Fetches a later version of the configuration from a neighbour.
 pub(super) async fn fetch(
@@ -50,7 +50,7 @@
 
 /// Returns the documents of a manifest that are in force already.
 pub(crate) fn known_documents(
-    known: Option<&InForce>,
+    known: Option<&ActiveConfiguration>,
     manifest: &Manifest,
 ) -> BTreeMap<DocumentName, Document> {
     let Some(known) = known else {
@@ -72,17 +72,20 @@
     documents: Vec<Document>,
 ) -> Result<(), Error> {
     let version = manifest.version;
-    if !shared.current.take(manifest, documents)? {
+    if !shared.current.apply(manifest, documents)? {
         return Ok(());
     }
     spdlog::info!("configuration in force", kv: { version = version.get() });
-    shared.refresh_routes();
-    shared.wake();
+    shared.refresh_targets();
+    shared.notify_gossip();
     Ok(())
 }
 
 /// Returns the documents that a neighbour asked for.
-pub(super) fn wanted(in_force: Option<&InForce>, want: &[String]) -> Vec<wire::Document> {
+pub(super) fn wanted(
+    in_force: Option<&ActiveConfiguration>,
+    want: &[String],
+) -> Vec<wire::Document> {
     let Some(in_force) = in_force else {
         return Vec::new();
     };
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -68,7 +68,7 @@
         }
         if let Some(suspect) = &head.suspect {
             let told = suspects_in(std::slice::from_ref(suspect));
-            self.shared.take_suspects(&told);
+            self.shared.merge_suspects(&told);
         }
         let in_force = self.shared.current.get();
         let estate = in_force.as_ref().map(|in_force| &in_force.estate);
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -14,7 +14,7 @@
 use crate::policy::member::{VersionDecision, read_probability};
 use crate::store::{Feed, Row};
 use crate::tables::Shared;
-use crate::task::{Followed, follow};
+use crate::task::{FollowedRow, follow_row};
 
 /// The row that holds the operator's document.
 const ROW: &str = "op/config";
@@ -30,13 +30,13 @@
 
 /// Puts each version of the operator's document in force, for ever.
 pub async fn watch_configuration(shared: Arc<Shared>, guard: Arc<Guard>, feed: Arc<dyn Feed>) {
-    let followed = Followed {
-        row: ROW,
+    let followed = FollowedRow {
+        key: ROW,
         table: TABLE,
         wait: WAIT,
     };
-    let asks = || shared.duty.borrow().uses_store() || reads_first(&shared);
-    follow(&*feed, &followed, asks, |row| {
+    let asks = || shared.store_role.borrow().uses_store() || reads_first(&shared);
+    follow_row(&*feed, &followed, asks, |row| {
         if let Err(e) = take(&shared, &guard, row) {
             spdlog::error!("configuration not understood", kv: {
                 cause = e.to_string().as_str(), revision = row.revision.0
@@ -59,7 +59,7 @@
 
 fn take(shared: &Shared, guard: &Guard, row: &Row) -> Result<(), Error> {
     let operated = read_document(&row.content)?;
-    if shared.current.offer(operated.version) != VersionDecision::Apply {
+    if shared.current.decide(operated.version) != VersionDecision::Apply {
         return Ok(());
     }
     let documents = split(&operated.estate);
--- a/src/tables/current.rs
+++ b/src/tables/current.rs
@@ -12,7 +12,7 @@
 
 /// One version of the configuration with its documents.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Names the version and its documents.
     pub manifest: Manifest,
     /// The documents by name.
@@ -23,30 +23,30 @@
 
 /// The configuration in force, which is only ever replaced by a later one.
 #[derive(Debug, Default)]
-pub struct Current {
-    inner: RwLock<Inner>,
+pub struct CurrentConfiguration {
+    state: RwLock<ActiveState>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct ActiveState {
     rollout: Rollout,
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
 }
 
-impl Current {
+impl CurrentConfiguration {
     /// Returns what is in force, if anything is yet.
-    pub fn get(&self) -> Option<Arc<InForce>> {
-        self.inner.read().in_force.clone()
+    pub fn get(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.state.read().active.clone()
     }
 
     /// Returns the version in force.
     pub fn version(&self) -> Version {
-        self.inner.read().rollout.current()
+        self.state.read().rollout.current()
     }
 
     /// Decides on a version that was heard of.
-    pub fn offer(&self, version: Version) -> VersionDecision {
-        self.inner.read().rollout.decide(version)
+    pub fn decide(&self, version: Version) -> VersionDecision {
+        self.state.read().rollout.decide(version)
     }
 
     /// Puts a version in force; returns whether it was later than the present.
@@ -55,17 +55,17 @@
     ///
     /// Fails if the documents are not those of the manifest or make no estate;
     /// what was in force stays so.
-    pub fn take(&self, manifest: Manifest, documents: Vec<Document>) -> Result<bool, Error> {
+    pub fn apply(&self, manifest: Manifest, documents: Vec<Document>) -> Result<bool, Error> {
         if Manifest::index(&documents) != manifest.documents {
             let message = "the documents are not those of the manifest";
             return Err(Error::value("configuration", message));
         }
         let estate = join(&documents)?;
         let documents = documents.into_iter().map(|d| (d.name.clone(), d)).collect();
-        let mut inner = self.inner.write();
-        let newer = inner.rollout.advance(manifest.version);
+        let mut state = self.state.write();
+        let newer = state.rollout.advance(manifest.version);
         if newer {
-            inner.in_force = Some(Arc::new(InForce {
+            state.active = Some(Arc::new(ActiveConfiguration {
                 manifest,
                 documents,
                 estate,
--- a/src/tables/journal.rs
+++ b/src/tables/journal.rs
@@ -11,12 +11,12 @@
 use crate::model::{CallId, Instance};
 
 /// Notes that are kept.
-const KEPT: usize = 8192;
+const MAX_RECORDS: usize = 8192;
 
 /// What was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Step {
+pub enum CallStep {
     /// The entry took the call.
     Entered,
     /// The entry sent an attempt.
@@ -37,11 +37,11 @@
 
 /// One decision on one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct JournalEntry {
     /// The call, in hex.
     pub call: Box<str>,
     /// What was decided.
-    pub step: Step,
+    pub step: CallStep,
     /// More on it: where to, and why.
     pub detail: Box<str>,
     /// When, in milliseconds of Unix time.
@@ -50,7 +50,7 @@
 
 /// What is noted beside a step; made into text only when somebody asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Detail {
+pub enum StepDetail {
     /// Nothing.
     None,
     /// A fixed word.
@@ -61,7 +61,7 @@
     Target(Instance),
 }
 
-impl fmt::Display for Detail {
+impl fmt::Display for StepDetail {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::None => Ok(()),
@@ -75,20 +75,20 @@
 #[derive(Clone, Copy)]
 struct Record {
     call: CallId,
-    step: Step,
-    detail: Detail,
+    step: CallStep,
+    detail: StepDetail,
     unix_ms: u64,
 }
 
 /// The latest notes, bounded in number.
 #[derive(Default)]
-pub struct Journal {
+pub struct CallJournal {
     records: Mutex<VecDeque<Record>>,
 }
 
-impl Journal {
+impl CallJournal {
     /// Adds a note.
-    pub fn note(&self, call: CallId, step: Step, detail: Detail) {
+    pub fn record(&self, call: CallId, step: CallStep, detail: StepDetail) {
         let record = Record {
             call,
             step,
@@ -96,19 +96,19 @@
             unix_ms: unix_ms(),
         };
         let mut records = self.records.lock();
-        if records.len() >= KEPT {
+        if records.len() >= MAX_RECORDS {
             records.pop_front();
         }
         records.push_back(record);
     }
 
     /// Returns the notes on a call, oldest first.
-    pub fn find(&self, call: CallId) -> Vec<Note> {
+    pub fn find(&self, call: CallId) -> Vec<JournalEntry> {
         self.records
             .lock()
             .iter()
             .filter(|record| record.call == call)
-            .map(|record| Note {
+            .map(|record| JournalEntry {
                 call: call.to_string().into(),
                 step: record.step,
                 detail: record.detail.to_string().into(),
--- a/src/tables/decisions.rs
+++ b/src/tables/log_limiter.rs
@@ -7,44 +7,44 @@
 
 /// Lines on calls a second and at once. At 13 daemons of the users' smallest
 /// estate this is 650 lines a second, about 200 KB.
-const RATE: f64 = 50.0;
-const BURST: f64 = 200.0;
+const LINES_PER_S: f64 = 50.0;
+const LINES_BURST: f64 = 200.0;
 
 #[derive(Debug)]
-struct Budget {
+struct LineBudget {
     lines: f64,
-    filled: Instant,
-    left_out: u64,
+    refilled_at: Instant,
+    suppressed: u64,
 }
 
 /// Gives leave for log lines on single calls.
 #[derive(Debug)]
-pub struct Decisions {
-    budget: Mutex<Budget>,
+pub struct CallLogLimiter {
+    budget: Mutex<LineBudget>,
 }
 
-impl Default for Decisions {
+impl Default for CallLogLimiter {
     fn default() -> Self {
         Self {
-            budget: Mutex::new(Budget {
-                lines: BURST,
-                filled: Instant::now(),
-                left_out: 0,
+            budget: Mutex::new(LineBudget {
+                lines: LINES_BURST,
+                refilled_at: Instant::now(),
+                suppressed: 0,
             }),
         }
     }
 }
 
-impl Decisions {
+impl CallLogLimiter {
     /// Takes leave for one line; what is not given is counted.
-    pub fn may_log(&self) -> bool {
+    pub fn try_take(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.budget.lock();
-        let age: Duration = now.saturating_duration_since(budget.filled);
-        budget.lines = (budget.lines + age.as_secs_f64() * RATE).min(BURST);
-        budget.filled = now;
+        let age: Duration = now.saturating_duration_since(budget.refilled_at);
+        budget.lines = (budget.lines + age.as_secs_f64() * LINES_PER_S).min(LINES_BURST);
+        budget.refilled_at = now;
         if budget.lines < 1.0 {
-            budget.left_out += 1;
+            budget.suppressed += 1;
             return false;
         }
         budget.lines -= 1.0;
@@ -52,7 +52,7 @@
     }
 
     /// Returns the lines left out since the last question.
-    pub fn take_left_out(&self) -> u64 {
-        std::mem::take(&mut self.budget.lock().left_out)
+    pub fn take_suppressed(&self) -> u64 {
+        std::mem::take(&mut self.budget.lock().suppressed)
     }
 }
--- a/src/tables/calls.rs
+++ b/src/tables/parent_calls.rs
@@ -14,7 +14,7 @@
 
 /// What onward calls of a held call need to know of it.
 #[derive(Debug)]
-pub struct Held {
+pub struct ParentCall {
     /// The request at the root of the tree.
     pub root: RootId,
     /// The class of the request.
@@ -33,10 +33,10 @@
     pub once: Option<OnceKey>,
     /// The retries of the call and all below it.
     pub account: Mutex<RetryAccount>,
-    met: Mutex<Vec<OnwardOutcome>>,
+    onward_outcomes: Mutex<Vec<OnwardOutcome>>,
 }
 
-impl Held {
+impl ParentCall {
     /// Holds a call.
     pub fn new(head: &crate::call::CallHead) -> Self {
         Self {
@@ -49,18 +49,18 @@
             deadline: head.deadline,
             once: head.once.as_ref().map(|once| once.key.clone()),
             account: Mutex::new(RetryAccount::new(head.account)),
-            met: Mutex::default(),
+            onward_outcomes: Mutex::default(),
         }
     }
 
     /// Takes note of what an onward call met.
-    pub fn met(&self, met: OnwardOutcome) {
-        self.met.lock().push(met);
+    pub fn record_onward(&self, outcome: OnwardOutcome) {
+        self.onward_outcomes.lock().push(outcome);
     }
 
     /// Returns what the onward calls met so far.
-    pub fn take_met(&self) -> Vec<OnwardOutcome> {
-        std::mem::take(&mut self.met.lock())
+    pub fn take_onward_outcomes(&self) -> Vec<OnwardOutcome> {
+        std::mem::take(&mut self.onward_outcomes.lock())
     }
 
     /// Ends the holding and returns the retries that go home.
@@ -71,30 +71,30 @@
 
 /// All held calls by id.
 #[derive(Debug, Default)]
-pub struct Calls {
-    held: Mutex<HashMap<CallId, Arc<Held>>>,
+pub struct ParentCalls {
+    by_id: Mutex<HashMap<CallId, Arc<ParentCall>>>,
 }
 
-impl Calls {
+impl ParentCalls {
     /// Holds a call until the returned guard is dropped.
-    pub fn hold(self: &Arc<Self>, id: CallId, held: Held) -> HeldCall {
-        let held = Arc::new(held);
-        self.held.lock().insert(id, Arc::clone(&held));
-        HeldCall {
+    pub fn register(self: &Arc<Self>, id: CallId, call: ParentCall) -> ParentCallGuard {
+        let call = Arc::new(call);
+        self.by_id.lock().insert(id, Arc::clone(&call));
+        ParentCallGuard {
             calls: Arc::clone(self),
             id,
-            held,
+            call,
         }
     }
 
     /// Returns a held call.
-    pub fn get(&self, id: CallId) -> Option<Arc<Held>> {
-        self.held.lock().get(&id).cloned()
+    pub fn get(&self, id: CallId) -> Option<Arc<ParentCall>> {
+        self.by_id.lock().get(&id).cloned()
     }
 
     /// Returns the number of held calls.
     pub fn len(&self) -> usize {
-        self.held.lock().len()
+        self.by_id.lock().len()
     }
 
     /// Tells whether no call is held.
@@ -105,22 +105,22 @@
 
 /// Keeps one call held while it lives.
 #[derive(Debug)]
-pub struct HeldCall {
-    calls: Arc<Calls>,
+pub struct ParentCallGuard {
+    calls: Arc<ParentCalls>,
     id: CallId,
-    held: Arc<Held>,
+    call: Arc<ParentCall>,
 }
 
-impl std::ops::Deref for HeldCall {
-    type Target = Held;
+impl std::ops::Deref for ParentCallGuard {
+    type Target = ParentCall;
 
-    fn deref(&self) -> &Held {
-        &self.held
+    fn deref(&self) -> &ParentCall {
+        &self.call
     }
 }
 
-impl Drop for HeldCall {
+impl Drop for ParentCallGuard {
     fn drop(&mut self) {
-        self.calls.held.lock().remove(&self.id);
+        self.calls.by_id.lock().remove(&self.id);
     }
 }
--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -19,16 +19,16 @@
 };
 
 /// How often idle entries are looked for, by questions for credit.
-const SWEEP: u64 = 4096;
+const QUERIES_PER_SWEEP: u64 = 4096;
 
 /// The credit of one workspace at this daemon.
 #[derive(Debug)]
-pub struct Credit {
-    stock: Mutex<LocalCredit>,
-    asking: AtomicBool,
+pub struct WorkspaceCredit {
+    local: Mutex<LocalCredit>,
+    querying: AtomicBool,
     /// Wakes requests that wait for the coordinator's answer.
-    pub told: Notify,
-    taken: AtomicU64,
+    pub grant_notify: Notify,
+    admitted: AtomicU64,
     refused: AtomicU64,
 }
 
@@ -38,14 +38,14 @@
     /// The workspace.
     pub workspace: WorkspaceName,
     /// Requests that were within the rate.
-    pub taken: u64,
+    pub admitted: u64,
     /// Requests that were over it.
     pub refused: u64,
 }
 
 /// The ring, and since when it has been as it is.
 #[derive(Debug)]
-struct Known {
+struct RingState {
     change: Option<ChangeCount>,
     ring: Arc<HashRing>,
     since: Instant,
@@ -53,208 +53,215 @@
 
 /// The credit of all limited workspaces.
 #[derive(Debug)]
-pub struct Rates {
-    terms: RateTolerance,
-    known: Mutex<Known>,
-    stocks: Mutex<HashMap<WorkspaceName, Arc<Credit>>>,
+pub struct WorkspaceRates {
+    tolerance: RateTolerance,
+    ring: Mutex<RingState>,
+    credits: Mutex<HashMap<WorkspaceName, Arc<WorkspaceCredit>>>,
     buckets: Mutex<HashMap<WorkspaceName, CreditBucket>>,
-    lent: AtomicU64,
+    grant_queries: AtomicU64,
     /// Wakes the task that tells coordinators of the demand.
-    pub begun: Notify,
+    pub demand_notify: Notify,
 }
 
-impl Rates {
+impl WorkspaceRates {
     /// Makes empty tables under what an estate tolerates.
-    pub fn new(terms: RateTolerance) -> Self {
+    pub fn new(tolerance: RateTolerance) -> Self {
         Self {
-            terms,
-            known: Mutex::new(Known {
+            tolerance,
+            ring: Mutex::new(RingState {
                 change: None,
                 ring: Arc::default(),
                 since: Instant::now(),
             }),
-            stocks: Mutex::default(),
+            credits: Mutex::default(),
             buckets: Mutex::default(),
-            lent: AtomicU64::new(0),
-            begun: Notify::new(),
+            grant_queries: AtomicU64::new(0),
+            demand_notify: Notify::new(),
         }
     }
 
     /// Returns the ring of the members of a view.
     pub fn ring(&self, view: &View) -> Arc<HashRing> {
-        let mut known = self.known.lock();
-        if known.change != Some(view.change()) {
-            known.change = Some(view.change());
+        let mut state = self.ring.lock();
+        if state.change != Some(view.change()) {
+            state.change = Some(view.change());
             let ring = HashRing::new(view);
-            if ring != *known.ring {
-                known.ring = Arc::new(ring);
-                known.since = Instant::now();
+            if ring != *state.ring {
+                state.ring = Arc::new(ring);
+                state.since = Instant::now();
             }
         }
-        Arc::clone(&known.ring)
+        Arc::clone(&state.ring)
     }
 
     /// Returns the credit of a workspace here.
-    pub fn credit(&self, workspace: &WorkspaceName) -> Arc<Credit> {
-        let mut stocks = self.stocks.lock();
-        match stocks.get(workspace) {
+    pub fn credit(&self, workspace: &WorkspaceName) -> Arc<WorkspaceCredit> {
+        let mut credits = self.credits.lock();
+        match credits.get(workspace) {
             Some(credit) => Arc::clone(credit),
             None => {
-                let credit = Arc::new(Credit::new());
-                self.begun.notify_one();
-                stocks.insert(workspace.clone(), Arc::clone(&credit));
+                let credit = Arc::new(WorkspaceCredit::new());
+                self.demand_notify.notify_one();
+                credits.insert(workspace.clone(), Arc::clone(&credit));
                 credit
             }
         }
     }
 
     /// Takes the credit of one request out.
-    pub fn take(&self, credit: &Credit, limit: Limit, members: usize) -> CreditDecision {
-        let mut stock = credit.stock.lock();
-        let taken = stock.take(Instant::now(), &self.terms, limit, members);
-        match taken {
-            CreditDecision::Admit => credit.taken.fetch_add(1, Ordering::Relaxed),
+    pub fn try_take(
+        &self,
+        credit: &WorkspaceCredit,
+        limit: Limit,
+        members: usize,
+    ) -> CreditDecision {
+        let mut local = credit.local.lock();
+        let decision = local.take(Instant::now(), &self.tolerance, limit, members);
+        match decision {
+            CreditDecision::Admit => credit.admitted.fetch_add(1, Ordering::Relaxed),
             CreditDecision::Refuse(_) => credit.refused.fetch_add(1, Ordering::Relaxed),
             CreditDecision::AskCoordinator => 0,
         };
-        taken
+        decision
     }
 
     /// Returns what to ask the coordinator for, if it is time to and nobody
-    /// asks already; whoever gets this calls [`Credit::asked`] in the end. A
+    /// asks already; whoever gets this calls [`WorkspaceCredit::end_query`] in the end. A
     /// request that `waits` depends on the answer.
-    pub fn begin_asking(&self, credit: &Credit, waits: bool) -> Option<CreditQuery> {
-        if self.terms.sharing == Sharing::Equal {
+    pub fn begin_query(&self, credit: &WorkspaceCredit, waits: bool) -> Option<CreditQuery> {
+        if self.tolerance.sharing == Sharing::Equal {
             return None;
         }
-        if credit.asking.swap(true, Ordering::AcqRel) {
+        if credit.querying.swap(true, Ordering::AcqRel) {
             return None;
         }
-        let asked = credit.stock.lock().next_query(Instant::now(), waits);
-        match asked {
-            Some(_) => self.begun.notify_one(),
-            None => credit.asked(),
+        let query = credit.local.lock().next_query(Instant::now(), waits);
+        match query {
+            Some(_) => self.demand_notify.notify_one(),
+            None => credit.end_query(),
         }
-        asked
+        query
     }
 
     /// Tells whether requests of a workspace arrived here lately.
     pub fn is_active(&self) -> bool {
-        let stocks = self.stocks.lock();
-        stocks
+        let credits = self.credits.lock();
+        credits
             .values()
-            .any(|credit| credit.stock.lock().is_registered())
+            .any(|credit| credit.local.lock().is_registered())
     }
 
     /// Returns what is to be told to coordinators now; whoever gets this calls
-    /// [`Credit::asked`] on each in the end.
-    pub fn begin_telling(&self) -> Vec<(WorkspaceName, Arc<Credit>, CreditQuery)> {
+    /// [`WorkspaceCredit::end_query`] on each in the end.
+    pub fn begin_reports(&self) -> Vec<(WorkspaceName, Arc<WorkspaceCredit>, CreditQuery)> {
         let now = Instant::now();
-        let stocks = self.stocks.lock();
-        let told = stocks.iter().filter_map(|(name, credit)| {
-            if credit.asking.swap(true, Ordering::AcqRel) {
+        let credits = self.credits.lock();
+        let reports = credits.iter().filter_map(|(name, credit)| {
+            if credit.querying.swap(true, Ordering::AcqRel) {
                 return None;
             }
-            let asked = credit.stock.lock().next_report(now);
-            if asked.is_none() {
-                credit.asked();
+            let query = credit.local.lock().next_report(now);
+            if query.is_none() {
+                credit.end_query();
             }
-            Some((name.clone(), Arc::clone(credit), asked?))
+            Some((name.clone(), Arc::clone(credit), query?))
         });
-        told.collect()
+        reports.collect()
     }
 
     /// Takes note that the coordinator did not answer.
-    pub fn unanswered(&self, credit: &Credit, members: usize) {
-        let mut stock = credit.stock.lock();
-        stock.record_no_answer(Instant::now(), &self.terms, members, &mut rand::rng());
+    pub fn record_no_answer(&self, credit: &WorkspaceCredit, members: usize) {
+        let mut local = credit.local.lock();
+        local.record_no_answer(Instant::now(), &self.tolerance, members, &mut rand::rng());
     }
 
     /// Lends credit of a workspace that this daemon coordinates.
-    pub fn lend(
+    pub fn grant(
         &self,
         workspace: &WorkspaceName,
         limit: Limit,
         from: SocketAddr,
-        asked: CreditQuery,
+        query: CreditQuery,
     ) -> CreditGrant {
         let now = Instant::now();
         let mut buckets = self.buckets.lock();
         if self
-            .lent
+            .grant_queries
             .fetch_add(1, Ordering::Relaxed)
-            .is_multiple_of(SWEEP)
+            .is_multiple_of(QUERIES_PER_SWEEP)
         {
             buckets.retain(|_, bucket| !bucket.is_idle(now));
         }
         if !buckets.contains_key(workspace) {
-            let since = self.known.lock().since;
-            buckets.insert(workspace.clone(), CreditBucket::new(since, &self.terms));
+            let since = self.ring.lock().since;
+            buckets.insert(workspace.clone(), CreditBucket::new(since, &self.tolerance));
         }
         match buckets.get_mut(workspace) {
-            Some(bucket) => bucket.grant(now, &self.terms, limit, from, asked),
+            Some(bucket) => bucket.grant(now, &self.tolerance, limit, from, query),
             None => CreditGrant::default(),
         }
     }
 
     /// Returns what became of requests by their rates, the largest first.
-    pub fn counts(&self, most: usize) -> Vec<RateCount> {
-        let stocks = self.stocks.lock();
-        let mut counts: Vec<RateCount> = stocks
+    pub fn counts(&self, limit: usize) -> Vec<RateCount> {
+        let credits = self.credits.lock();
+        let mut counts: Vec<RateCount> = credits
             .iter()
             .map(|(workspace, credit)| RateCount {
                 workspace: workspace.clone(),
-                taken: credit.taken.load(Ordering::Relaxed),
+                admitted: credit.admitted.load(Ordering::Relaxed),
                 refused: credit.refused.load(Ordering::Relaxed),
             })
             .collect();
-        drop(stocks);
-        counts.sort_by_key(|count| std::cmp::Reverse((count.taken + count.refused, count.refused)));
-        counts.truncate(most);
+        drop(credits);
+        counts.sort_by_key(|count| {
+            std::cmp::Reverse((count.admitted + count.refused, count.refused))
+        });
+        counts.truncate(limit);
         counts
     }
 }
 
-impl Credit {
+impl WorkspaceCredit {
     fn new() -> Self {
         Self {
-            stock: Mutex::new(LocalCredit::new(Instant::now())),
-            asking: AtomicBool::new(false),
-            told: Notify::new(),
-            taken: AtomicU64::new(0),
+            local: Mutex::new(LocalCredit::new(Instant::now())),
+            querying: AtomicBool::new(false),
+            grant_notify: Notify::new(),
+            admitted: AtomicU64::new(0),
             refused: AtomicU64::new(0),
         }
     }
 
     /// Takes note of a request that arrives.
-    pub fn arrived(&self) {
-        self.stock.lock().record_arrival(Instant::now());
+    pub fn record_arrival(&self) {
+        self.local.lock().record_arrival(Instant::now());
     }
 
     /// Gives back the credit of a request that no backend server got.
-    pub fn give_back(&self) {
-        self.stock.lock().refund(Instant::now());
+    pub fn refund(&self) {
+        self.local.lock().refund(Instant::now());
     }
 
     /// Takes the coordinator's answer.
-    pub fn lent(&self, lent: CreditGrant) {
-        self.stock.lock().apply_grant(Instant::now(), lent);
+    pub fn apply_grant(&self, grant: CreditGrant) {
+        self.local.lock().apply_grant(Instant::now(), grant);
     }
 
     /// Ends the asking and wakes those who wait.
-    pub fn asked(&self) {
-        self.asking.store(false, Ordering::Release);
-        self.told.notify_waiters();
+    pub fn end_query(&self) {
+        self.querying.store(false, Ordering::Release);
+        self.grant_notify.notify_waiters();
     }
 
     /// Tells whether the coordinator is being asked.
-    pub fn is_asking(&self) -> bool {
-        self.asking.load(Ordering::Acquire)
+    pub fn is_querying(&self) -> bool {
+        self.querying.load(Ordering::Acquire)
     }
 }
 
 /// Spread of the time after which callers over their rate come back, so that
 /// they do not come together.
-pub fn spread(wait: Duration) -> Duration {
+pub fn add_jitter(wait: Duration) -> Duration {
     wait.mul_f64(rand::Rng::random_range(&mut rand::rng(), 1.0..2.0))
 }
--- a/src/tables/shared.rs
+++ b/src/tables/shared.rs
@@ -9,7 +9,8 @@
 use tokio::sync::{Notify, watch};
 
 use super::{
-    Calls, Current, Decisions, Homes, Journal, Notices, Rates, Readiness, Routes, Splits, Suspects,
+    CallJournal, CallLogLimiter, CurrentConfiguration, OwnershipTable, ParentCalls, Readiness,
+    RouteSplits, ServerNotices, SuspectTable, TargetTables, WorkspaceRates,
 };
 use crate::call::Protocol;
 use crate::config::Config;
@@ -27,60 +28,60 @@
     /// This run of the daemon.
     pub instance: Instance,
     /// The configuration in force.
-    pub current: Current,
+    pub current: CurrentConfiguration,
     /// The members of the estate.
     pub view: Mutex<View>,
     /// Home rows.
-    pub homes: Homes,
+    pub ownership: OwnershipTable,
     /// Targets by service.
-    pub routes: Routes,
+    pub targets: TargetTables,
     /// Divisions of routes among services.
-    pub splits: Splits,
+    pub route_splits: RouteSplits,
     /// The headers spoken with callers and with the backend server.
     pub protocol: Arc<dyn Protocol>,
     /// Calls that the backend server works on.
-    pub calls: Arc<Calls>,
+    pub parent_calls: Arc<ParentCalls>,
     /// Requests that were under way at crashes.
-    pub suspects: Suspects,
+    pub suspects: SuspectTable,
     /// What backend servers have said of themselves.
-    pub notices: Notices,
+    pub notices: ServerNotices,
     /// Credit of workspaces.
-    pub rates: Rates,
+    pub rates: WorkspaceRates,
     /// Recent decisions.
-    pub journal: Journal,
+    pub journal: CallJournal,
     /// Leave for log lines on single calls.
-    pub decisions: Decisions,
+    pub log_limiter: CallLogLimiter,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The platform.
     pub platform: Arc<dyn Platform>,
     /// Wakes the task that tells the estate of the backend server.
-    pub announced: Notify,
+    pub lease_notify: Notify,
     /// Wakes the task that passes news on to neighbours.
-    pub news: Notify,
+    pub gossip_notify: Notify,
     /// Wakes the task that keeps requests that are held.
-    pub grave: Notify,
+    pub quarantine_notify: Notify,
     /// Wakes the task that fills the tables of targets anew.
-    pub stale: Notify,
+    pub refresh_notify: Notify,
     /// For whom this daemon uses the platform's store.
-    pub duty: watch::Sender<StoreRole>,
+    pub store_role: watch::Sender<StoreRole>,
     /// What decides on that.
-    pub term: Mutex<RoleTracker>,
+    pub role_tracker: Mutex<RoleTracker>,
     /// The revision of the own row in the table service, while it stands there.
-    pub row: Mutex<Option<Revision>>,
+    pub member_row: Mutex<Option<Revision>>,
     /// Whether the daemon takes callers.
     pub readiness: Readiness,
     /// Daemons that know something worth asking for.
-    pub asks: Mutex<BTreeSet<SocketAddr>>,
+    pub pending_peers: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl Shared {
     /// Fills the tables of targets anew after the view or the configuration
     /// changed.
-    pub fn refresh_routes(&self) {
+    pub fn refresh_targets(&self) {
         if let Some(in_force) = self.current.get() {
             let view = self.view.lock();
-            self.routes.update(&in_force.estate, &view);
+            self.targets.update(&in_force.estate, &view);
             if in_force.estate.workspaces.is_some() {
                 // Since when the ring is as it is tells what a new bucket may lend.
                 self.rates.ring(&view);
@@ -93,8 +94,8 @@
     /// In a start of all a thousand members become known within a second. Each
     /// costs a look at all, so changes that come close together are taken as one.
     pub fn members_changed(&self) {
-        self.stale.notify_one();
-        self.wake();
+        self.refresh_notify.notify_one();
+        self.notify_gossip();
     }
 
     /// Returns the ring of members by which workspaces are coordinated.
@@ -105,71 +106,71 @@
 
     /// Lends credit of a workspace to the daemon at `from`; nothing where no
     /// limit of it is known.
-    pub fn lend(
+    pub fn grant_credit(
         &self,
         workspace: &WorkspaceName,
         from: SocketAddr,
-        asked: CreditQuery,
+        query: CreditQuery,
     ) -> Option<CreditGrant> {
         let in_force = self.current.get()?;
         let workspaces = in_force.estate.workspaces.as_ref()?;
         let limit = workspaces.get(workspace)?.limit?;
-        Some(self.rates.lend(workspace, limit, from, asked))
+        Some(self.rates.grant(workspace, limit, from, query))
     }
 
     /// Tells whether callers should be sent here: a configuration is in force,
     /// the other daemons are known, and no stop is planned.
     pub fn is_ready(&self) -> bool {
-        self.readiness.is_open() && self.current.version() > Version::NONE
+        self.readiness.is_ready() && self.current.version() > Version::NONE
     }
 
     /// Takes note that a request was under way at a crash of the own server,
     /// and passes it on.
-    pub fn note_own_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
-        if request.is_some_and(|request| self.suspects.crashed_here(request, crash)) {
-            self.tell_suspects();
+    pub fn record_own_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
+        if request.is_some_and(|request| self.suspects.record_own_crash(request, crash)) {
+            self.suspects_changed();
         }
     }
 
     /// Takes note that a request was under way at a crash that a guard told of,
     /// and passes it on.
-    pub fn note_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
-        if request.is_some_and(|request| self.suspects.crashed(request, crash)) {
-            self.tell_suspects();
+    pub fn record_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
+        if request.is_some_and(|request| self.suspects.record_crash(request, crash)) {
+            self.suspects_changed();
         }
     }
 
-    fn tell_suspects(&self) {
-        self.wake();
-        if self.suspects.has_grave() {
-            self.grave.notify_one();
+    fn suspects_changed(&self) {
+        self.notify_gossip();
+        if self.suspects.has_unsaved() {
+            self.quarantine_notify.notify_one();
         }
     }
 
     /// Takes note that a server answered a request, and passes it on where it
     /// was suspected.
-    pub fn note_answer(&self, request: Option<Fingerprint>) {
-        if request.is_some_and(|request| self.suspects.answered(request)) {
-            self.wake();
+    pub fn record_answer(&self, request: Option<Fingerprint>) {
+        if request.is_some_and(|request| self.suspects.record_answer(request)) {
+            self.notify_gossip();
         }
     }
 
     /// Takes what another daemon knows of suspects, and passes it on.
-    pub fn take_suspects(&self, news: &[Suspect]) {
+    pub fn merge_suspects(&self, news: &[Suspect]) {
         if self.suspects.merge(news) {
-            self.tell_suspects();
+            self.suspects_changed();
         }
     }
 
     /// Tells the task that news is there to pass on.
-    pub fn wake(&self) {
-        self.news.notify_one();
+    pub fn notify_gossip(&self) {
+        self.gossip_notify.notify_one();
     }
 
     /// Notes that the daemon at `address` knows something worth asking for.
-    pub fn ask_later(&self, address: SocketAddr) {
-        self.asks.lock().insert(address);
-        self.wake();
+    pub fn query_later(&self, address: SocketAddr) {
+        self.pending_peers.lock().insert(address);
+        self.notify_gossip();
     }
 }
 
--- a/src/tables/splits.rs
+++ b/src/tables/splits.rs
@@ -9,37 +9,37 @@
 use crate::policy::route::Split;
 
 #[derive(Debug)]
-struct Dealt {
+struct RouteSplit {
     weights: Vec<u32>,
     split: Split,
 }
 
 /// The divisions of routes among services.
 #[derive(Debug, Default)]
-pub struct Splits {
-    dealt: Mutex<HashMap<RouteName, Dealt>>,
+pub struct RouteSplits {
+    by_route: Mutex<HashMap<RouteName, RouteSplit>>,
 }
 
-impl Splits {
+impl RouteSplits {
     /// Chooses the service that takes the next request of a route.
     pub fn choose<'r>(&self, route: &'r Route) -> Option<&'r Share> {
         if let [only] = route.shares.as_slice() {
             return Some(only);
         }
         let weights: Vec<u32> = route.shares.iter().map(|s| s.weight.get()).collect();
-        let mut dealt = self.dealt.lock();
-        let known = dealt.get(&route.name).map(|dealt| &dealt.weights);
+        let mut by_route = self.by_route.lock();
+        let known = by_route.get(&route.name).map(|split| &split.weights);
         if known != Some(&weights) {
             let split = Split::new(&weights, rand::random());
             let weights = weights.clone();
-            dealt.insert(route.name.clone(), Dealt { weights, split });
+            by_route.insert(route.name.clone(), RouteSplit { weights, split });
         }
-        let place = dealt.get_mut(&route.name)?.split.next(&weights)?;
-        route.shares.get(place)
+        let index = by_route.get_mut(&route.name)?.split.next(&weights)?;
+        route.shares.get(index)
     }
 
     /// Forgets routes that `keep` does not know.
-    pub fn retain(&self, keep: impl Fn(&RouteName) -> bool) {
-        self.dealt.lock().retain(|name, _| keep(name));
+    pub fn retain(&self, is_known: impl Fn(&RouteName) -> bool) {
+        self.by_route.lock().retain(|name, _| is_known(name));
     }
 }
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -10,59 +10,63 @@
 use crate::policy::member::ChangeCount;
 
 /// Crashes of the own server, and requests told of, that are remembered.
-const REMEMBERED: usize = 64;
+const MAX_REMEMBERED: usize = 64;
 
 /// What is to be kept of requests that are held for crashes of the own server.
 #[derive(Debug, Default)]
-struct Grave {
+struct SaveQueue {
     /// The crashes of the own server.
-    own: VecDeque<CrashId>,
+    own_crashes: VecDeque<CrashId>,
     /// Requests that were told of.
-    told: VecDeque<u128>,
+    queued_digests: VecDeque<u128>,
     /// Requests to tell of.
     waiting: Vec<Suspect>,
 }
 
-impl Grave {
-    fn crashed(&mut self, crash: CrashId) {
-        if !self.own.contains(&crash) {
-            remember(&mut self.own, crash);
+impl SaveQueue {
+    fn record_own_crash(&mut self, crash: CrashId) {
+        if !self.own_crashes.contains(&crash) {
+            push_bounded(&mut self.own_crashes, crash);
         }
     }
 
     /// Looks whether a suspect of which something new is known is to be kept.
-    fn look(&mut self, suspect: &Suspect) {
-        if suspect.records.iter().any(|s| self.own.contains(&s.crash)) {
-            self.keep(suspect);
+    fn add_if_own(&mut self, suspect: &Suspect) {
+        if suspect
+            .records
+            .iter()
+            .any(|s| self.own_crashes.contains(&s.crash))
+        {
+            self.add(suspect);
         }
     }
 
-    fn keep(&mut self, suspect: &Suspect) {
-        if !suspect.is_likely_cause() || self.told.contains(&suspect.digest) {
+    fn add(&mut self, suspect: &Suspect) {
+        if !suspect.is_likely_cause() || self.queued_digests.contains(&suspect.digest) {
             return;
         }
-        remember(&mut self.told, suspect.digest);
+        push_bounded(&mut self.queued_digests, suspect.digest);
         self.waiting.push(suspect.clone());
     }
 }
 
-fn remember<T>(list: &mut VecDeque<T>, item: T) {
+fn push_bounded<T>(list: &mut VecDeque<T>, item: T) {
     list.push_back(item);
-    if list.len() > REMEMBERED {
+    if list.len() > MAX_REMEMBERED {
         list.pop_front();
     }
 }
 
 /// The requests that were under way at crashes.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct SuspectTable {
     known: Mutex<crash::Suspects>,
-    grave: Mutex<Grave>,
+    queue: Mutex<SaveQueue>,
 }
 
-impl Suspects {
+impl SuspectTable {
     /// Returns what may be done with a request.
-    pub fn standing(&self, request: Fingerprint) -> RunRestriction {
+    pub fn restriction(&self, request: Fingerprint) -> RunRestriction {
         let known = self.known.lock();
         if known.is_empty() {
             return RunRestriction::Unrestricted;
@@ -72,7 +76,7 @@
 
     /// Takes note that a request was under way at a crash; returns whether
     /// that is new.
-    pub fn crashed(&self, request: Fingerprint, crash: CrashId) -> bool {
+    pub fn record_crash(&self, request: Fingerprint, crash: CrashId) -> bool {
         self.change(request, |known, now| {
             known.record_crash(now, request, crash)
         })
@@ -80,46 +84,46 @@
 
     /// Takes note that a request was under way at a crash of the own server;
     /// returns whether that is new.
-    pub fn crashed_here(&self, request: Fingerprint, crash: CrashId) -> bool {
-        self.grave.lock().crashed(crash);
-        self.crashed(request, crash)
+    pub fn record_own_crash(&self, request: Fingerprint, crash: CrashId) -> bool {
+        self.queue.lock().record_own_crash(crash);
+        self.record_crash(request, crash)
     }
 
     /// Takes out a request that is held for a crash of the own server, to be
     /// kept where daemons that start find it.
-    pub fn take_grave(&self) -> Option<Suspect> {
-        self.grave.lock().waiting.pop()
+    pub fn take_unsaved(&self) -> Option<Suspect> {
+        self.queue.lock().waiting.pop()
     }
 
     /// Begins to keep requests again that are held, since what was kept may be
     /// lost: those that are held for crashes of the own server, or `all`.
-    pub fn keep_again(&self, all: bool) {
+    pub fn save_again(&self, all: bool) {
         let known = self.known.lock();
         let (suspects, _) = known.changes_since(Instant::now(), ChangeCount::default());
-        let mut grave = self.grave.lock();
-        grave.told.clear();
+        let mut queue = self.queue.lock();
+        queue.queued_digests.clear();
         for suspect in &suspects {
             if all {
-                grave.keep(suspect);
+                queue.add(suspect);
             } else {
-                grave.look(suspect);
+                queue.add_if_own(suspect);
             }
         }
     }
 
     /// Puts back a request that could not be kept yet.
-    pub fn put_back(&self, suspect: Suspect) {
-        self.grave.lock().waiting.push(suspect);
+    pub fn return_unsaved(&self, suspect: Suspect) {
+        self.queue.lock().waiting.push(suspect);
     }
 
     /// Tells whether there is a request to be kept.
-    pub fn has_grave(&self) -> bool {
-        !self.grave.lock().waiting.is_empty()
+    pub fn has_unsaved(&self) -> bool {
+        !self.queue.lock().waiting.is_empty()
     }
 
     /// Takes note that a server answered a request; returns whether it was
     /// suspected.
-    pub fn answered(&self, request: Fingerprint) -> bool {
+    pub fn record_answer(&self, request: Fingerprint) -> bool {
         if self.known.lock().is_empty() {
             return false;
         }
@@ -135,7 +139,7 @@
         for suspect in news {
             if known.merge(now, suspect) {
                 more = true;
-                self.look(known.get(now, suspect.digest));
+                self.queue_if_own(known.get(now, suspect.digest));
             }
         }
         more
@@ -148,18 +152,18 @@
     }
 
     /// Returns what changed after `since`, and the count of changes.
-    pub fn changed(&self, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
+    pub fn changes_since(&self, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
         self.known.lock().changes_since(Instant::now(), since)
     }
 
     /// Forgets what is over.
-    pub fn forget(&self) {
+    pub fn remove_expired(&self) {
         self.known.lock().remove_expired(Instant::now());
     }
 
-    fn look(&self, suspect: Option<&Suspect>) {
+    fn queue_if_own(&self, suspect: Option<&Suspect>) {
         if let Some(suspect) = suspect {
-            self.grave.lock().look(suspect);
+            self.queue.lock().add_if_own(suspect);
         }
     }
 
@@ -178,7 +182,7 @@
         let suspect = known.get(now, request.asked);
         let crashes = suspect.map_or(0, Suspect::crash_count);
         if new {
-            self.look(suspect);
+            self.queue_if_own(suspect);
         }
         drop(known);
         if let (RunRestriction::Quarantined(left), false) =
--- a/src/tables/routes.rs
+++ b/src/tables/targets.rs
@@ -13,21 +13,25 @@
 
 /// The tables of targets by service.
 #[derive(Debug)]
-pub struct Routes {
-    own: CentreName,
-    allowed: Option<AllowanceSettings>,
+pub struct TargetTables {
+    own_centre: CentreName,
+    allowance: Option<AllowanceSettings>,
     balance: Balance,
     tables: Mutex<HashMap<ServiceName, Arc<Mutex<Table>>>>,
 }
 
-impl Routes {
+impl TargetTables {
     /// Makes the tables of an entry in the data centre `own`, whose retries
     /// are bounded by what the estate allows, or else by the calls answered;
     /// `balance` says by what targets are compared.
-    pub fn new(own: CentreName, allowed: Option<AllowanceSettings>, balance: Balance) -> Self {
+    pub fn new(
+        own_centre: CentreName,
+        allowance: Option<AllowanceSettings>,
+        balance: Balance,
+    ) -> Self {
         Self {
-            own,
-            allowed,
+            own_centre,
+            allowance,
             balance,
             tables: Mutex::default(),
         }
@@ -39,13 +43,13 @@
         match tables.get(service) {
             Some(table) => Arc::clone(table),
             None => {
-                let retries = match self.allowed {
+                let retry_budget = match self.allowance {
                     Some(settings) => {
                         RetryBudget::WindowAllowance(Box::new(Allowance::new(settings)))
                     }
                     None => RetryBudget::default(),
                 };
-                let table = Table::with_retry_budget(self.own.clone(), retries);
+                let table = Table::with_retry_budget(self.own_centre.clone(), retry_budget);
                 let table = Arc::new(Mutex::new(table));
                 tables.insert(service.clone(), Arc::clone(&table));
                 table
@@ -61,7 +65,7 @@
             let mut near = Vec::new();
             let mut far = Vec::new();
             for member in view.serving(&service.name) {
-                if member.centre == self.own {
+                if member.centre == self.own_centre {
                     near.push(member.instance);
                 } else {
                     far.push(member.instance);
@@ -70,8 +74,8 @@
             let entries = estate.entry_count(&service.name) as usize;
             let servers = near.len() + far.len();
             let size = subset_size(entries, servers, service.connections);
-            let mut chosen = subset(own_hash(own), &near, size);
-            chosen.extend(subset(own_hash(own), &far, size));
+            let mut chosen = subset(instance_hash(own), &near, size);
+            chosen.extend(subset(instance_hash(own), &far, size));
             if service.name == view.own().service && !chosen.contains(&own) && near.contains(&own) {
                 chosen.push(own);
             }
@@ -91,6 +95,6 @@
     }
 }
 
-fn own_hash(own: Instance) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(own.address.to_string().as_bytes())
+fn instance_hash(instance: Instance) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(instance.address.to_string().as_bytes())
 }
--- a/src/task/follow.rs
+++ b/src/task/follow.rs
@@ -9,24 +9,24 @@
 use crate::store::{Feed, FeedError, Revision, Row};
 
 /// Questions a second and at once that one daemon may ask for a row.
-const RATE: f64 = 4.0;
-const BURST: f64 = 8.0;
+const QUERIES_PER_S: f64 = 4.0;
+const QUERY_BURST: f64 = 8.0;
 /// Pause before leave for another question is looked for.
-const PAUSE: Duration = Duration::from_millis(100);
+const BUDGET_POLL: Duration = Duration::from_millis(100);
 /// Pause before it is looked again whether the store is to be asked.
-const IDLE: Duration = Duration::from_millis(250);
+const IDLE_POLL: Duration = Duration::from_millis(250);
 /// Most that failures in a row make the next question wait.
-const MAX_BACK_OFF: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Time over which daemons spread their reading of the whole row, where all of
 /// them must at once.
-const SPREAD: Duration = Duration::from_millis(300);
+const REREAD_JITTER: Duration = Duration::from_millis(300);
 
 /// A row that is followed.
 #[derive(Clone, Copy, Debug)]
-pub struct Followed {
+pub struct FollowedRow {
     /// The row.
-    pub row: &'static str,
+    pub key: &'static str,
     /// Its table.
     pub table: &'static str,
     /// How long one question for changes may stay open.
@@ -36,59 +36,60 @@
 /// Gives each state of a row to `take`, as soon as the store tells of it, for
 /// ever. States that follow each other quickly may be passed over.
 ///
-/// While `asks` says that the store is not to be asked, nothing is; the row is
+/// while `may_query` says that the store is not to be asked, nothing is; the row is
 /// read as a whole after that.
-pub async fn follow(
+pub async fn follow_row(
     feed: &dyn Feed,
-    followed: &Followed,
-    mut asks: impl FnMut() -> bool,
-    mut take: impl FnMut(&Row),
+    followed: &FollowedRow,
+    mut may_query: impl FnMut() -> bool,
+    mut apply: impl FnMut(&Row),
 ) {
-    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
+    let mut budget =
+        Budget::with_max_backoff(Instant::now(), QUERIES_PER_S, QUERY_BURST, MAX_BACKOFF);
     let mut known: Option<Revision> = None;
     let mut lost = false;
-    let mut back = feed.went_back();
-    let mut times = *back.borrow_and_update();
+    let mut restored = feed.went_back();
+    let mut restores = *restored.borrow_and_update();
     loop {
-        if !asks() {
+        if !may_query() {
             known = None;
-            tokio::time::sleep(IDLE).await;
+            tokio::time::sleep(IDLE_POLL).await;
             continue;
         }
         if !budget.try_take(Instant::now()) {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(BUDGET_POLL).await;
             continue;
         }
         let before = known;
         let failed = match known {
-            None => first(feed, followed, &mut known, &mut take).await,
+            None => read_row(feed, followed, &mut known, &mut apply).await,
             // A store that went back may not know that it gave the place in the
             // feed out twice, and would pass over what lies before it.
             Some(after) => tokio::select! {
-                failed = next(feed, followed, after, &mut known, &mut take) => failed,
-                Ok(()) = back.changed() => None,
+                failed = read_changes(feed, followed, after, &mut known, &mut apply) => failed,
+                Ok(()) = restored.changed() => None,
             },
         };
-        let now = *back.borrow_and_update();
-        if now != times {
-            times = now;
+        let now = *restored.borrow_and_update();
+        if now != restores {
+            restores = now;
             known = None;
         }
         if before.is_some() && known.is_none() {
-            let pause = SPREAD.mul_f64(rand::rng().random());
+            let pause = REREAD_JITTER.mul_f64(rand::rng().random());
             tokio::time::sleep(pause).await;
         }
         match failed {
             None => {
                 if lost {
-                    spdlog::info!("feed regained", kv: { row = followed.row });
+                    spdlog::info!("feed regained", kv: { row = followed.key });
                 }
                 lost = false;
                 budget.record_answer();
             }
             Some(cause) => {
                 if !lost {
-                    spdlog::warn!("feed lost", kv: { row = followed.row, cause = &*cause });
+                    spdlog::warn!("feed lost", kv: { row = followed.key, cause = &*cause });
                 }
                 lost = true;
                 budget.record_failure(Instant::now(), &mut rand::rng());
@@ -98,16 +99,16 @@
 }
 
 /// Reads the row; returns why that failed, if it did.
-async fn first(
+async fn read_row(
     feed: &dyn Feed,
-    followed: &Followed,
+    followed: &FollowedRow,
     known: &mut Option<Revision>,
-    take: &mut impl FnMut(&Row),
+    apply: &mut impl FnMut(&Row),
 ) -> Option<Box<str>> {
-    match feed.read(followed.row).await {
+    match feed.read(followed.key).await {
         Ok(Some(row)) => {
             *known = Some(row.revision);
-            take(&row);
+            apply(&row);
             None
         }
         Ok(None) => {
@@ -119,20 +120,20 @@
 }
 
 /// Asks for changes; returns why that failed, if it did.
-async fn next(
+async fn read_changes(
     feed: &dyn Feed,
-    followed: &Followed,
+    followed: &FollowedRow,
     after: Revision,
     known: &mut Option<Revision>,
-    take: &mut impl FnMut(&Row),
+    apply: &mut impl FnMut(&Row),
 ) -> Option<Box<str>> {
     match feed.changes(followed.table, after, followed.wait).await {
         Ok(changes) => {
             for change in &changes.changes {
-                if *change.key == *followed.row
+                if *change.key == *followed.key
                     && let Some(row) = &change.row
                 {
-                    take(row);
+                    apply(row);
                 }
             }
             *known = Some(changes.at.max(after));
--- a/src/task/lease.rs
+++ b/src/task/lease.rs
@@ -11,25 +11,25 @@
 use crate::tables::Shared;
 
 /// How often the lease is looked at without news of the backend server.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tells the estate when the backend server comes, leaves or lapses, for ever.
 pub async fn watch_lease(shared: Arc<Shared>, guard: Arc<Guard>) {
     loop {
         // What is announced counts at once; that nothing is, after a while.
-        let _ = tokio::time::timeout(LOOK, shared.announced.notified()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, shared.lease_notify.notified()).await;
         let state = match guard.lease_state() {
             LeaseState::Absent => MemberState::Waiting,
             LeaseState::Serving => MemberState::Serving,
             LeaseState::Leaving => MemberState::Leaving,
         };
-        say_slots(&shared, guard.announced_slots());
-        say_state(&shared, state);
+        update_own_slots(&shared, guard.announced_slots());
+        update_own_state(&shared, state);
     }
 }
 
 /// Says how many slots the backend server announced, if that has changed.
-fn say_slots(shared: &Shared, slots: Option<Slots>) {
+fn update_own_slots(shared: &Shared, slots: Option<Slots>) {
     let mut view = shared.view.lock();
     if slots.is_some() && view.own().slots != slots {
         view.update_own(Instant::now(), |own| own.slots = slots);
@@ -37,7 +37,7 @@
 }
 
 /// Says the state, if it has changed.
-pub(super) fn say_state(shared: &Shared, state: MemberState) {
+pub(super) fn update_own_state(shared: &Shared, state: MemberState) {
     let changed = {
         let mut view = shared.view.lock();
         let before = view.own().state;
@@ -50,7 +50,7 @@
     };
     if changed {
         spdlog::info!("backend server", kv: { state = state.as_str() });
-        shared.refresh_routes();
-        shared.wake();
+        shared.refresh_targets();
+        shared.notify_gossip();
     }
 }
--- a/src/task/report.rs
+++ b/src/task/load.rs
@@ -8,20 +8,20 @@
 use crate::tables::Shared;
 
 /// How often the load is logged.
-const EVERY: Duration = Duration::from_secs(2);
+const LOG_INTERVAL: Duration = Duration::from_secs(2);
 /// Workspaces that a line names.
-const NAMED: usize = 4;
+const MAX_WORKSPACES: usize = 4;
 
 /// Logs the load of the guard while calls wait or are refused, for ever.
-pub async fn report(shared: Arc<Shared>, guard: Arc<Guard>) {
+pub async fn log_load(shared: Arc<Shared>, guard: Arc<Guard>) {
     let mut dropped = 0;
     let mut busy = false;
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         guard.trim();
         let load = guard.gate().report();
-        let now = load.waiting > 0 || load.shed > 0;
-        if now || busy {
+        let loaded = load.waiting > 0 || load.shed > 0;
+        if loaded || busy {
             let service = shared.config.service.as_str();
             spdlog::info!("load", kv: {
                 service,
@@ -36,13 +36,13 @@
                 latency_ms = load.latency.as_millis() as u64
             });
         }
-        if now {
-            report_workspaces(&guard);
+        if loaded {
+            log_workspaces(&guard);
         }
-        busy = now;
-        let left_out = shared.decisions.take_left_out();
-        if left_out > 0 {
-            spdlog::info!("lines on calls left out", kv: { count = left_out });
+        busy = loaded;
+        let suppressed = shared.log_limiter.take_suppressed();
+        if suppressed > 0 {
+            spdlog::info!("lines on calls left out", kv: { count = suppressed });
         }
         let lines = dropped_lines();
         if lines > dropped {
@@ -53,12 +53,12 @@
 }
 
 /// Logs which workspaces had most of the slots since the line before.
-fn report_workspaces(guard: &Guard) {
+fn log_workspaces(guard: &Guard) {
     let rows = guard.take_recent_usages();
     if rows.is_empty() {
         return;
     }
-    let most = rows.iter().take(NAMED).map(|row| {
+    let most = rows.iter().take(MAX_WORKSPACES).map(|row| {
         let name = &row.name;
         format!("{name} {} ms, {} shed", row.time.as_millis(), row.shed)
     });
--- a/src/task/row.rs
+++ b/src/task/member_row.rs
@@ -9,34 +9,34 @@
 
 use tokio::time::Instant;
 
-use super::duty::{off_duty, on_duty};
+use super::store_role::{until_not_using_store, until_using_store};
 use crate::policy::member::{Budget, Member, MemberState, StoreRole, View};
 use crate::store::{Condition, Revision, Row, Settled, settle};
 use crate::tables::Shared;
 
 /// What the names of the rows begin with; the address follows.
-const PREFIX: &str = "member/";
+const KEY_PREFIX: &str = "member/";
 /// Pause between two looks whether the platform may be asked again.
-const LOOK: Duration = Duration::from_millis(200);
+const BUDGET_POLL: Duration = Duration::from_millis(200);
 /// Rounds of requests a second and at once that one daemon may make.
-const RATE: f64 = 2.0;
-const BURST: f64 = 2.0;
+const ROUNDS_PER_S: f64 = 2.0;
+const ROUND_BURST: f64 = 2.0;
 /// Most that failures in a row make the next round wait, so that daemons that
 /// started while the platform was away are found soon after its return.
-const MAX_BACK_OFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// How long those named by rows have to answer before a daemon that found them
 /// writes a row of its own.
-const ANSWER: Duration = Duration::from_secs(1);
+const MEMBER_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often the rows are read again, so that parts of an estate that started
 /// apart find each other, and rows of daemons that are gone are removed.
-const AGAIN: Duration = Duration::from_secs(60);
+const REREAD_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How long a row stays after its daemon has left the store to others; in a start
 /// of all a daemon may use it for itself and, a moment later, for its data centre.
-const HOLD: Duration = Duration::from_secs(10);
+const ROW_LINGER: Duration = Duration::from_secs(10);
 
 fn row_key(shared: &Shared) -> String {
-    format!("{PREFIX}{}", shared.instance.address)
+    format!("{KEY_PREFIX}{}", shared.instance.address)
 }
 
 /// Keeps the own row and reads those of others while this daemon uses the store,
@@ -45,40 +45,42 @@
 /// A row is written before the others are read. So of two daemons that keep one,
 /// the one that writes later reads that of the other, and what their neighbours
 /// know comes together.
-pub async fn keep_row(shared: Arc<Shared>) {
-    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
-    let mut back = shared.platform.went_back();
+pub async fn keep_member_row(shared: Arc<Shared>) {
+    let mut budget =
+        Budget::with_max_backoff(Instant::now(), ROUNDS_PER_S, ROUND_BURST, MAX_BACKOFF);
+    let mut restored = shared.platform.went_back();
     loop {
-        let duty = on_duty(&shared).await;
+        let role = until_using_store(&shared).await;
         if shared.view.lock().own().state == MemberState::Left {
             return;
         }
-        if back.has_changed().unwrap_or_default() {
-            back.mark_unchanged();
-            *shared.row.lock() = None;
+        if restored.has_changed().unwrap_or_default() {
+            restored.mark_unchanged();
+            *shared.member_row.lock() = None;
         }
-        if duty == StoreRole::Isolated
-            && shared.row.lock().is_none()
-            && found(&shared, &mut budget).await
+        if role == StoreRole::Isolated
+            && shared.member_row.lock().is_none()
+            && find_others(&shared, &mut budget).await
         {
-            let answered = tokio::time::timeout(ANSWER, off_duty(&shared)).await;
+            let answered =
+                tokio::time::timeout(MEMBER_ANSWER_TIMEOUT, until_not_using_store(&shared)).await;
             if answered.is_ok() {
                 continue;
             }
         }
-        until_answered(&shared, &mut budget, Round::Write).await;
-        let pause = tokio::time::sleep(AGAIN);
+        run_until_answered(&shared, &mut budget, Round::Write).await;
+        let pause = tokio::time::sleep(REREAD_INTERVAL);
         tokio::select! {
             () = pause => {}
-            Ok(()) = back.changed() => back.mark_changed(),
-            () = off_duty(&shared) => give_up_row(&shared).await,
+            Ok(()) = restored.changed() => restored.mark_changed(),
+            () = until_not_using_store(&shared) => remove_row_later(&shared).await,
         }
     }
 }
 
 /// Reads the rows until the platform answers; returns whether there are others.
-async fn found(shared: &Shared, budget: &mut Budget) -> bool {
-    until_answered(shared, budget, Round::Read).await;
+async fn find_others(shared: &Shared, budget: &mut Budget) -> bool {
+    run_until_answered(shared, budget, Round::Read).await;
     shared.view.lock().members().len() > 1
 }
 
@@ -103,10 +105,10 @@
 
 /// Repeats a round of requests until it succeeds, or until this daemon leaves the
 /// store to others.
-async fn until_answered(shared: &Shared, budget: &mut Budget, round: Round) {
-    while shared.duty.borrow().uses_store() {
+async fn run_until_answered(shared: &Shared, budget: &mut Budget, round: Round) {
+    while shared.store_role.borrow().uses_store() {
         if !budget.try_take(Instant::now()) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(BUDGET_POLL).await;
             continue;
         }
         if round.run(shared).await {
@@ -118,15 +120,18 @@
 }
 
 /// Removes the row of a daemon that leaves the store to others for good.
-async fn give_up_row(shared: &Shared) {
-    if tokio::time::timeout(HOLD, on_duty(shared)).await.is_err() {
+async fn remove_row_later(shared: &Shared) {
+    if tokio::time::timeout(ROW_LINGER, until_using_store(shared))
+        .await
+        .is_err()
+    {
         remove_row(shared).await;
     }
 }
 
 /// Removes the row, if it was written.
 pub(super) async fn remove_row(shared: &Shared) {
-    let Some(revision) = shared.row.lock().take() else {
+    let Some(revision) = shared.member_row.lock().take() else {
         return;
     };
     if let Err(e) = shared.platform.delete(&row_key(shared), revision).await {
@@ -136,11 +141,11 @@
 
 /// Reads the rows of other daemons; returns whether the platform answered.
 async fn read_rows(shared: &Shared) -> bool {
-    match shared.platform.scan(PREFIX).await {
+    match shared.platform.scan(KEY_PREFIX).await {
         Ok(rows) => {
-            take_rows(shared, &rows);
-            shared.readiness.found();
-            remove_old(shared, &rows).await;
+            merge_rows(shared, &rows);
+            shared.readiness.set_members_known();
+            remove_stale(shared, &rows).await;
             true
         }
         Err(e) => {
@@ -152,7 +157,7 @@
 
 /// Writes the row, unless it stands; returns whether it does.
 async fn write_row(shared: &Shared, own: &Member) -> bool {
-    if shared.row.lock().is_some() {
+    if shared.member_row.lock().is_some() {
         return true;
     }
     let key = row_key(shared);
@@ -163,7 +168,7 @@
     for _ in 0..2 {
         match settle(table, &key, condition, content.clone()).await {
             Settled::Written(revision) => {
-                *shared.row.lock() = Some(revision);
+                *shared.member_row.lock() = Some(revision);
                 return true;
             }
             Settled::Lost(Some(found)) => condition = Condition::Revision(found.revision),
@@ -174,7 +179,7 @@
     false
 }
 
-fn take_rows(shared: &Shared, rows: &[Row]) {
+fn merge_rows(shared: &Shared, rows: &[Row]) {
     let now = Instant::now();
     let mut changed = false;
     {
@@ -195,17 +200,17 @@
 
 /// Removes the rows of daemons that are gone. The first daemon of a data centre
 /// does, for all.
-async fn remove_old(shared: &Shared, rows: &[Row]) {
-    let old: Vec<(Box<str>, Revision)> = {
+async fn remove_stale(shared: &Shared, rows: &[Row]) {
+    let stale: Vec<(Box<str>, Revision)> = {
         let view = shared.view.lock();
         let own = view.own();
         if view.running().members(&own.centre).next() != Some(own.instance) {
             return;
         }
-        let old = rows.iter().filter(|row| is_old(&view, row));
-        old.map(|row| (row.key.clone(), row.revision)).collect()
+        let stale = rows.iter().filter(|row| is_stale(&view, row));
+        stale.map(|row| (row.key.clone(), row.revision)).collect()
     };
-    for (key, revision) in old {
+    for (key, revision) in stale {
         if let Err(e) = shared.platform.delete(&key, revision).await {
             // Whoever reads the rows next tries again.
             spdlog::debug!("row of a member not removed", kv: {
@@ -216,7 +221,7 @@
 }
 
 /// Tells whether a row is of this data centre and its daemon is known to be gone.
-fn is_old(view: &View, row: &Row) -> bool {
+fn is_stale(view: &View, row: &Row) -> bool {
     let Ok(member) = serde_json::from_slice::<Member>(&row.content) else {
         return false;
     };
--- a/src/task/mod.rs
+++ b/src/task/mod.rs
@@ -1,28 +1,28 @@
 //! What a daemon does besides calls: news, configuration, home rows, credit of
 //! workspaces, stopping.
 
-mod duty;
 mod follow;
 mod gossip;
-mod homes;
 mod lease;
+mod load;
+mod member_row;
+mod ownership;
 mod poll;
 mod rates;
-mod refresh;
-mod report;
-mod row;
 mod stop;
+mod store_role;
 mod suspects;
+mod targets;
 
-pub use duty::keep_duty;
-pub use follow::{Followed, follow};
+pub use follow::{FollowedRow, follow_row};
 pub use gossip::gossip;
-pub use homes::{keep_homes, read_home};
 pub use lease::watch_lease;
-pub use poll::{CURRENT_ROW, CurrentRow, fetch_version, poll};
-pub use rates::{ask_for_credit, tell_demand};
-pub use refresh::refresh;
-pub use report::report;
-pub use row::keep_row;
-pub use stop::{Stopping, stop};
-pub use suspects::keep_suspects;
+pub use load::log_load;
+pub use member_row::keep_member_row;
+pub use ownership::{keep_ownership, read_ownership};
+pub use poll::{CURRENT_ROW, CurrentRow, fetch_version, poll_configuration};
+pub use rates::{query_credit, report_demand};
+pub use stop::{StopParts, stop};
+pub use store_role::keep_store_role;
+pub use suspects::keep_suspect_rows;
+pub use targets::refresh_targets;
--- a/src/task/homes.rs
+++ b/src/task/ownership.rs
@@ -10,39 +10,39 @@
 use crate::policy::member::Budget;
 use crate::policy::once::{Horizon, OwnershipRow, plan_ownership};
 use crate::store::{Condition, Settled, settle};
-use crate::tables::{Home, Shared, mint_now};
+use crate::tables::{Shared, StoredOwnership, mint_now};
 
 /// How often the row is looked at.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Requests a second and at once that one daemon may make for its row.
-const RATE: f64 = 1.0;
-const BURST: f64 = 4.0;
+const REQUESTS_PER_S: f64 = 1.0;
+const REQUEST_BURST: f64 = 4.0;
 /// Looks by which one instance after the other waits before it steps in.
-const TURN: usize = 4;
+const CHECKS_PER_RANK: usize = 4;
 
 /// Keeps the home row of the own service extended, for ever.
 ///
 /// All instances of the service could do it; each waits a little longer than
 /// the one before it, so that usually the first one alone does.
-pub async fn keep_homes(shared: Arc<Shared>) {
-    let mut budget = Budget::new(Instant::now(), RATE, BURST);
-    let mut due_for = 0;
+pub async fn keep_ownership(shared: Arc<Shared>) {
+    let mut budget = Budget::new(Instant::now(), REQUESTS_PER_S, REQUEST_BURST);
+    let mut checks_due = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(once) = once_rules(&shared) else {
             continue;
         };
-        let live = live(&shared);
-        let Some(turn) = live.iter().position(|i| *i == shared.instance) else {
+        let live = serving_instances(&shared);
+        let Some(rank) = live.iter().position(|i| *i == shared.instance) else {
             continue;
         };
-        let known = shared.homes.get(&shared.config.service);
-        if next(known.as_ref(), &live, once).is_none() {
-            due_for = 0;
+        let known = shared.ownership.get(&shared.config.service);
+        if next_row(known.as_ref(), &live, once).is_none() {
+            checks_due = 0;
             continue;
         }
-        due_for += 1;
-        if due_for <= turn * TURN || !budget.try_take(Instant::now()) {
+        checks_due += 1;
+        if checks_due <= rank * CHECKS_PER_RANK || !budget.try_take(Instant::now()) {
             continue;
         }
         match extend(&shared, &live, once).await {
@@ -59,20 +59,24 @@
     estate.has_once(service).then_some(estate.once)
 }
 
-fn live(shared: &Shared) -> Vec<Instance> {
+fn serving_instances(shared: &Shared) -> Vec<Instance> {
     let view = shared.view.lock();
     view.serving(&shared.config.service)
         .map(|member| member.instance)
         .collect()
 }
 
-fn next(known: Option<&Home>, live: &[Instance], once: Once) -> Option<OwnershipRow> {
+fn next_row(
+    known: Option<&StoredOwnership>,
+    live: &[Instance],
+    once: Once,
+) -> Option<OwnershipRow> {
     let horizon = Horizon {
         ahead: once.horizon.get(),
         retention: once.memory.get(),
     };
     let empty = OwnershipRow::default();
-    let row = known.map_or(&empty, |home| &*home.row);
+    let row = known.map_or(&empty, |stored| &*stored.row);
     plan_ownership(row, mint_now(), live, horizon)
 }
 
@@ -84,25 +88,25 @@
 /// Writes the next state of the row; `None` if the platform does not answer.
 async fn extend(shared: &Shared, live: &[Instance], once: Once) -> Option<()> {
     let service = &shared.config.service;
-    let known = shared.homes.get(service);
-    let Some(row) = next(known.as_ref(), live, once) else {
+    let known = shared.ownership.get(service);
+    let Some(row) = next_row(known.as_ref(), live, once) else {
         return Some(());
     };
     let condition = match &known {
-        Some(home) => Condition::Revision(home.revision),
+        Some(stored) => Condition::Revision(stored.revision),
         None => Condition::Absent,
     };
     let content = row.encode().into();
     let table = shared.platform.as_ref();
     match settle(table, &row_key(service), condition, content).await {
         Settled::Written(revision) => {
-            shared.homes.take(service, revision, row);
-            shared.wake();
+            shared.ownership.update(service, revision, row);
+            shared.notify_gossip();
             Some(())
         }
         Settled::Lost(Some(found)) => {
             if let Ok(row) = OwnershipRow::decode(&found.content) {
-                shared.homes.take(service, found.revision, row);
+                shared.ownership.update(service, found.revision, row);
             }
             Some(())
         }
@@ -113,11 +117,11 @@
 
 /// Reads the home row of a service from the platform; returns whether the
 /// platform answered.
-pub async fn read_home(shared: &Shared, service: &ServiceName) -> bool {
+pub async fn read_ownership(shared: &Shared, service: &ServiceName) -> bool {
     match shared.platform.read(&row_key(service)).await {
         Ok(Some(found)) => {
             if let Ok(row) = OwnershipRow::decode(&found.content) {
-                shared.homes.take(service, found.revision, row);
+                shared.ownership.update(service, found.revision, row);
             }
             true
         }
--- a/src/task/poll.rs
+++ b/src/task/poll.rs
@@ -19,10 +19,10 @@
 pub const CURRENT_ROW: &str = "config/current";
 
 /// How often a poller reads the row.
-const TICK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Reads a second and at once that one daemon may make.
-const RATE: f64 = 2.0;
-const BURST: f64 = 8.0;
+const READS_PER_S: f64 = 2.0;
+const READ_BURST: f64 = 8.0;
 
 /// The content of the row that names the version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,13 +37,13 @@
 
 /// Reads the row now and then, for ever: always if this daemon has no
 /// configuration, else only if it is one of the few pollers of its data centre.
-pub async fn poll(shared: Arc<Shared>, guard: Arc<Guard>) {
-    let mut budget = Budget::new(Instant::now(), RATE, BURST);
+pub async fn poll_configuration(shared: Arc<Shared>, guard: Arc<Guard>) {
+    let mut budget = Budget::new(Instant::now(), READS_PER_S, READ_BURST);
     let mut seen = Version::NONE;
     loop {
-        let none = shared.current.get().is_none();
-        if (none || is_delegate(&shared.view.lock())) && budget.try_take(Instant::now()) {
-            match read(&shared).await {
+        let unconfigured = shared.current.get().is_none();
+        if (unconfigured || is_delegate(&shared.view.lock())) && budget.try_take(Instant::now()) {
+            match read_version(&shared).await {
                 Ok(()) => budget.record_answer(),
                 Err(e) => {
                     spdlog::debug!("cannot read the configuration", kv: {
@@ -56,22 +56,22 @@
         if shared.current.version() != seen {
             seen = shared.current.version();
             guard.reload();
-            shared.refresh_routes();
+            shared.refresh_targets();
         }
-        wait_for_news(&shared, seen).await;
+        wait_for_version(&shared, seen).await;
     }
 }
 
 /// Waits for the next read, or until another version is in force.
-async fn wait_for_news(shared: &Shared, seen: Version) {
-    const LOOK: Duration = Duration::from_millis(50);
-    let end = Instant::now() + TICK;
+async fn wait_for_version(shared: &Shared, seen: Version) {
+    const VERSION_CHECK: Duration = Duration::from_millis(50);
+    let end = Instant::now() + POLL_INTERVAL;
     while Instant::now() < end && shared.current.version() == seen {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(VERSION_CHECK).await;
     }
 }
 
-async fn read(shared: &Shared) -> Result<(), Error> {
+async fn read_version(shared: &Shared) -> Result<(), Error> {
     let failed = |e: crate::store::ReadError| Error::remote(e.to_string());
     let row = shared.platform.read(CURRENT_ROW).await.map_err(failed)?;
     let Some(row) = row else {
@@ -79,7 +79,7 @@
     };
     let current: CurrentRow = serde_json::from_slice(&row.content)
         .map_err(|e| Error::value("configuration row", e.to_string()))?;
-    if shared.current.offer(current.version) != VersionDecision::Apply {
+    if shared.current.decide(current.version) != VersionDecision::Apply {
         return Ok(());
     }
     let (manifest, documents) = fetch_version(shared, &current.manifest).await?;
@@ -95,7 +95,7 @@
     shared: &Shared,
     manifest: &Hash,
 ) -> Result<(Manifest, Vec<Document>), Error> {
-    let content = object(shared, manifest).await?;
+    let content = fetch_object(shared, manifest).await?;
     let manifest = Manifest::decode(&content)?;
     let known = shared.current.get();
     let mut documents: BTreeMap<DocumentName, Document> =
@@ -104,7 +104,7 @@
         if documents.contains_key(name) {
             continue;
         }
-        let content = object(shared, hash).await?;
+        let content = fetch_object(shared, hash).await?;
         let content = String::from_utf8_lossy(&content).into();
         let name = name.clone();
         documents.insert(name.clone(), Document { name, content });
@@ -112,7 +112,7 @@
     Ok((manifest, documents.into_values().collect()))
 }
 
-async fn object(shared: &Shared, hash: &Hash) -> Result<bytes::Bytes, Error> {
+async fn fetch_object(shared: &Shared, hash: &Hash) -> Result<bytes::Bytes, Error> {
     let found = shared.platform.get(hash.as_str()).await;
     let found = found.map_err(|e| Error::remote(e.to_string()))?;
     let content =
--- a/src/task/rates.rs
+++ b/src/task/rates.rs
@@ -6,42 +6,42 @@
 use crate::model::WorkspaceName;
 use crate::peer::{Pool, borrow};
 use crate::policy::rate::CreditQuery;
-use crate::tables::{Credit, Shared};
+use crate::tables::{Shared, WorkspaceCredit};
 
 /// How often it is looked for what to tell. A coordinator that hears nothing
 /// for half a second longer than it should takes the daemon for cut off.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Asks the coordinator of a workspace for credit, or tells it of the demand,
 /// and takes its answer.
-pub async fn ask_for_credit(
+pub async fn query_credit(
     shared: Arc<Shared>,
     pool: Arc<Pool>,
     name: WorkspaceName,
-    credit: Arc<Credit>,
-    asked: CreditQuery,
+    credit: Arc<WorkspaceCredit>,
+    query: CreditQuery,
 ) {
-    match borrow(&shared, &pool, &name, asked).await {
-        Some(lent) => credit.lent(lent),
+    match borrow(&shared, &pool, &name, query).await {
+        Some(grant) => credit.apply_grant(grant),
         None => {
             shared.metrics.count("credit_unanswered");
-            shared.rates.unanswered(&credit, shared.ring().len());
+            shared.rates.record_no_answer(&credit, shared.ring().len());
         }
     }
-    credit.asked();
+    credit.end_query();
 }
 
 /// Tells the coordinators of all workspaces whose requests arrive here, for
 /// ever; a daemon without any sleeps.
-pub async fn tell_demand(shared: Arc<Shared>, pool: Arc<Pool>) {
+pub async fn report_demand(shared: Arc<Shared>, pool: Arc<Pool>) {
     loop {
         if !shared.rates.is_active() {
-            shared.rates.begun.notified().await;
+            shared.rates.demand_notify.notified().await;
         }
-        tokio::time::sleep(LOOK).await;
-        for (name, credit, asked) in shared.rates.begin_telling() {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        for (name, credit, query) in shared.rates.begin_reports() {
             let (shared, pool) = (Arc::clone(&shared), Arc::clone(&pool));
-            tokio::spawn(ask_for_credit(shared, pool, name, credit, asked));
+            tokio::spawn(query_credit(shared, pool, name, credit, query));
         }
     }
 }
--- a/src/task/duty.rs
+++ b/src/task/store_role.rs
@@ -9,13 +9,13 @@
 use crate::tables::Shared;
 
 /// How often the duty is decided anew.
-const LOOK: Duration = Duration::from_millis(250);
+const DECISION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Decides on the daemon's duty now and then, for ever.
-pub async fn keep_duty(shared: Arc<Shared>) {
+pub async fn keep_store_role(shared: Arc<Shared>) {
     loop {
         decide(&shared);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(DECISION_INTERVAL).await;
     }
 }
 
@@ -24,32 +24,32 @@
         let view = shared.view.lock();
         (is_delegate(&view), view.members().len())
     };
-    let duty = shared.term.lock().decide(Instant::now(), first);
-    let changed = shared.duty.send_if_modified(|known| {
-        let changed = *known != duty;
-        *known = duty;
+    let role = shared.role_tracker.lock().decide(Instant::now(), first);
+    let changed = shared.store_role.send_if_modified(|known| {
+        let changed = *known != role;
+        *known = role;
         changed
     });
     if changed {
-        spdlog::info!("duty at the store", kv: { duty = duty.as_str(), first, members });
+        spdlog::info!("duty at the store", kv: { duty = role.as_str(), first, members });
     }
 }
 
 /// Waits until this daemon uses the store, and returns for whom.
-pub(super) async fn on_duty(shared: &Shared) -> StoreRole {
+pub(super) async fn until_using_store(shared: &Shared) -> StoreRole {
     wait_for(shared, StoreRole::uses_store).await
 }
 
 /// Waits until this daemon leaves the store to others.
-pub(super) async fn off_duty(shared: &Shared) {
-    wait_for(shared, |duty| !duty.uses_store()).await;
+pub(super) async fn until_not_using_store(shared: &Shared) {
+    wait_for(shared, |role| !role.uses_store()).await;
 }
 
 async fn wait_for(shared: &Shared, is: impl Fn(StoreRole) -> bool) -> StoreRole {
-    let mut duty = shared.duty.subscribe();
-    let found = duty.wait_for(|duty| is(*duty)).await.map(|duty| *duty);
+    let mut role = shared.store_role.subscribe();
+    let found = role.wait_for(|role| is(*role)).await.map(|role| *role);
     match found {
-        Ok(duty) => duty,
+        Ok(role) => role,
         // The daemon ends.
         Err(_) => std::future::pending().await,
     }
--- a/src/task/suspects.rs
+++ b/src/task/suspects.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::duty::on_duty;
+use super::store_role::until_using_store;
 use crate::model::CrashId;
 use crate::policy::crash::{CrashRecord, Suspect};
 use crate::policy::member::Budget;
@@ -21,51 +21,52 @@
 use crate::tables::{Shared, unix_ms};
 
 /// What the names of the rows begin with; what is asked for follows.
-const PREFIX: &str = "suspect/";
+const KEY_PREFIX: &str = "suspect/";
 /// Pause between two looks whether the platform may be asked again.
-const LOOK: Duration = Duration::from_millis(200);
+const BUDGET_POLL: Duration = Duration::from_millis(200);
 /// Requests a second and at once that one daemon may make.
-const RATE: f64 = 1.0;
-const BURST: f64 = 4.0;
+const REQUESTS_PER_S: f64 = 1.0;
+const REQUEST_BURST: f64 = 4.0;
 /// Most that failures in a row make the next request wait.
-const MAX_BACK_OFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The content of a row.
 #[derive(Debug, Serialize, Deserialize)]
 struct Content {
-    strikes: Vec<StrikeRow>,
+    #[serde(rename = "strikes")]
+    crashes: Vec<CrashRow>,
     /// When the last crash was, by the system clock.
     unix_ms: u64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct StrikeRow {
+struct CrashRow {
     crash: u64,
     caller: u64,
 }
 
 impl Content {
-    fn of(suspect: &Suspect, now: Instant) -> Self {
+    fn new(suspect: &Suspect, now: Instant) -> Self {
         let age = now.saturating_duration_since(suspect.last_crash);
-        let strike = |strike: &CrashRecord| StrikeRow {
-            crash: strike.crash.get(),
-            caller: strike.caller,
+        let row = |record: &CrashRecord| CrashRow {
+            crash: record.crash.get(),
+            caller: record.caller,
         };
         Self {
-            strikes: suspect.records.iter().map(strike).collect(),
+            crashes: suspect.records.iter().map(row).collect(),
             unix_ms: unix_ms().saturating_sub(u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
         }
     }
 
-    fn suspect(&self, asked: u128, now: Instant) -> Suspect {
+    fn suspect(&self, request: u128, now: Instant) -> Suspect {
         let age = Duration::from_millis(unix_ms().saturating_sub(self.unix_ms));
-        let strike = |row: &StrikeRow| CrashRecord {
+        let record = |row: &CrashRow| CrashRecord {
             crash: CrashId::new(row.crash),
             caller: row.caller,
         };
         Suspect {
-            digest: asked,
-            records: self.strikes.iter().map(strike).collect(),
+            digest: request,
+            records: self.crashes.iter().map(record).collect(),
             answered_callers: BTreeSet::new(),
             last_crash: now.checked_sub(age).unwrap_or(now),
         }
@@ -75,32 +76,33 @@
 /// Reads the rows of held requests once, when this daemon begins to use the store
 /// for others or itself, and writes those that are held for crashes of this VM's
 /// server, for ever; again when the store has gone back.
-pub async fn keep_suspects(shared: Arc<Shared>) {
-    let mut budget = Budget::with_max_backoff(Instant::now(), RATE, BURST, MAX_BACK_OFF);
+pub async fn keep_suspect_rows(shared: Arc<Shared>) {
+    let mut budget =
+        Budget::with_max_backoff(Instant::now(), REQUESTS_PER_S, REQUEST_BURST, MAX_BACKOFF);
     let mut read = false;
-    let mut back = shared.platform.went_back();
+    let mut restored = shared.platform.went_back();
     loop {
         tokio::select! {
-            () = shared.grave.notified() => {}
-            _ = on_duty(&shared), if !read => {}
-            Ok(()) = back.changed() => {
-                let all = shared.duty.borrow().uses_store();
-                shared.suspects.keep_again(all);
+            () = shared.quarantine_notify.notified() => {}
+            _ = until_using_store(&shared), if !read => {}
+            Ok(()) = restored.changed() => {
+                let all = shared.store_role.borrow().uses_store();
+                shared.suspects.save_again(all);
             }
         }
-        if !read && shared.duty.borrow().uses_store() {
+        if !read && shared.store_role.borrow().uses_store() {
             if !budget.try_take(Instant::now()) {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(BUDGET_POLL).await;
                 continue;
             }
             read = read_rows(&shared).await;
-            note(&mut budget, read);
+            record_outcome(&mut budget, read);
         }
         write_rows(&shared, &mut budget).await;
     }
 }
 
-fn note(budget: &mut Budget, answered: bool) {
+fn record_outcome(budget: &mut Budget, answered: bool) {
     if answered {
         budget.record_answer();
     } else {
@@ -111,7 +113,7 @@
 /// Reads all rows, and removes those whose time is over; returns whether the
 /// platform answered.
 async fn read_rows(shared: &Shared) -> bool {
-    let rows = match shared.platform.scan(PREFIX).await {
+    let rows = match shared.platform.scan(KEY_PREFIX).await {
         Ok(rows) => rows,
         Err(e) => {
             spdlog::warn!("held requests not read", kv: { cause = e.to_string().as_str() });
@@ -127,14 +129,14 @@
             None => spdlog::warn!("row of a held request not understood", kv: { key = &*row.key }),
         }
     }
-    shared.take_suspects(&known);
+    shared.merge_suspects(&known);
     true
 }
 
 fn suspect_of(row: &Row, now: Instant) -> Option<Suspect> {
-    let asked = u128::from_str_radix(row.key.strip_prefix(PREFIX)?, 16).ok()?;
+    let request = u128::from_str_radix(row.key.strip_prefix(KEY_PREFIX)?, 16).ok()?;
     let content: Content = serde_json::from_slice(&row.content).ok()?;
-    Some(content.suspect(asked, now))
+    Some(content.suspect(request, now))
 }
 
 async fn remove(shared: &Shared, row: &Row) {
@@ -148,14 +150,14 @@
 
 /// Writes a row for each request that is held for a crash of this VM's server.
 async fn write_rows(shared: &Shared, budget: &mut Budget) {
-    while let Some(suspect) = shared.suspects.take_grave() {
+    while let Some(suspect) = shared.suspects.take_unsaved() {
         while !budget.try_take(Instant::now()) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(BUDGET_POLL).await;
         }
         let written = write_row(shared, &suspect).await;
-        note(budget, written);
+        record_outcome(budget, written);
         if !written && !suspect.is_expired(Instant::now()) {
-            shared.suspects.put_back(suspect);
+            shared.suspects.return_unsaved(suspect);
         }
     }
 }
@@ -163,8 +165,8 @@
 /// Writes one row; returns whether it stands. One that another daemon has
 /// written is enough.
 async fn write_row(shared: &Shared, suspect: &Suspect) -> bool {
-    let key = format!("{PREFIX}{:032x}", suspect.digest);
-    let content = Content::of(suspect, Instant::now());
+    let key = format!("{KEY_PREFIX}{:032x}", suspect.digest);
+    let content = Content::new(suspect, Instant::now());
     let content = serde_json::to_vec(&content).unwrap_or_default();
     let table = shared.platform.as_ref();
     let (outcome, stands) = match settle(table, &key, Condition::Absent, content.into()).await {
--- a/tests/crashed_server.rs
+++ b/tests/crashed_server.rs
@@ -30,7 +30,7 @@
 
 fn serving_targets(entry: &Vm) -> usize {
     let service = "svc".parse().expect("a name");
-    let table = entry.daemon.shared().routes.table(&service);
+    let table = entry.daemon.shared().targets.table(&service);
     let table = table.lock();
     let serving = table.targets().filter(|t| t.state == TargetState::Serving);
     serving.count()
--- a/tests/fair_share/inner.rs
+++ b/tests/fair_share/inner.rs
@@ -29,7 +29,7 @@
     for vm in &vms {
         eventually("both servers as targets", || async {
             let service = "svc".parse().expect("a name");
-            let table = vm.daemon.shared().routes.table(&service);
+            let table = vm.daemon.shared().targets.table(&service);
             let known = table.lock().targets().count();
             (known == 2).then_some(())
         })
--- a/tests/platform_daemon.rs
+++ b/tests/platform_daemon.rs
@@ -204,7 +204,7 @@
     entry.wait_ready().await;
     eventually("both targets", || async {
         let service = "svc".parse().expect("a name");
-        let table = entry.daemon.shared().routes.table(&service);
+        let table = entry.daemon.shared().targets.table(&service);
         let known = table.lock().targets().count() == 2;
         known.then_some(())
     })
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -91,7 +91,7 @@
             entry.wait_ready().await;
             eventually("all targets", || async {
                 let service = "svc".parse().expect("a name");
-                let table = entry.daemon.shared().routes.table(&service);
+                let table = entry.daemon.shared().targets.table(&service);
                 let table = table.lock();
                 let own = |server: &CrashingVm| server.vm.daemon.shared().instance;
                 let known = |server| table.targets().any(|t| t.instance == own(server));
--- a/tests/server_limit.rs
+++ b/tests/server_limit.rs
@@ -41,7 +41,7 @@
     let table = entry
         .daemon
         .shared()
-        .routes
+        .targets
         .table(&"svc".parse().expect("a name"));
     eventually("the servers as targets", || async {
         let table = table.lock();
--- a/tests/store_calls.rs
+++ b/tests/store_calls.rs
@@ -65,7 +65,7 @@
     in_force(vms, 7).await;
     all_known(vms).await;
     eventually("delegates", || async {
-        let acts = |vm: &&Vm| *vm.daemon.shared().duty.borrow() == StoreRole::Delegate;
+        let acts = |vm: &&Vm| *vm.daemon.shared().store_role.borrow() == StoreRole::Delegate;
         (vms.iter().filter(acts).count() == 4).then_some(())
     })
     .await;
@@ -105,7 +105,7 @@
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vms = estate(address, 10).await;
     settled(&vms).await;
-    let acts = |vm: &Vm| vm.daemon.shared().duty.borrow().uses_store();
+    let acts = |vm: &Vm| vm.daemon.shared().store_role.borrow().uses_store();
     let (lost, left): (Vec<Vm>, Vec<Vm>) = vms.into_iter().partition(acts);
     assert!(left.len() >= 5);
     for vm in lost {
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -41,7 +41,7 @@
 
 fn pace(entry: &Vm, server: &Server) -> Option<f64> {
     let service = "svc".parse().expect("a name");
-    let table = entry.daemon.shared().routes.table(&service);
+    let table = entry.daemon.shared().targets.table(&service);
     let at = server.vm.daemon.shared().instance;
     table.lock().latency_ratio(Instant::now(), at)
 }
@@ -61,7 +61,7 @@
     entry.wait_ready().await;
     eventually("the servers", || async {
         let service = "svc".parse().expect("a name");
-        let table = entry.daemon.shared().routes.table(&service);
+        let table = entry.daemon.shared().targets.table(&service);
         let known = table.lock().targets().count() == 3;
         known.then_some(())
     })
