--- a/src/entry/rate.rs
+++ b/src/entry/rate.rs
@@ -7,16 +7,16 @@
 use crate::call::{Attempt, Reason, Refusal};
 use crate::declare::Limit;
 use crate::policy::rate::{CreditDecision, CreditQuery};
-use crate::tables::{Credit, spread};
-use crate::task::ask_for_credit;
+use crate::tables::{WorkspaceCredit, add_jitter};
+use crate::task::query_credit;
 
 /// The credit that a request has taken; given back unless it may have run.
-pub(super) struct CreditCharge(Arc<Credit>);
+pub(super) struct CreditCharge(Arc<WorkspaceCredit>);
 
 impl CreditCharge {
     /// Gives the credit back, since no backend server got the request.
     pub(super) fn refund(self) {
-        self.0.give_back();
+        self.0.refund();
     }
 }
 
@@ -38,21 +38,21 @@
             return Ok(None);
         };
         let credit = self.shared.rates.credit(&workspace.name);
-        credit.arrived();
+        credit.record_arrival();
         loop {
             // Made before looking, so that no answer in between is missed.
-            let mut notified = std::pin::pin!(credit.told.notified());
+            let mut notified = std::pin::pin!(credit.grant_notify.notified());
             notified.as_mut().enable();
             let members = self.shared.ring().len();
-            let decision = self.shared.rates.take(&credit, limit, members);
+            let decision = self.shared.rates.try_take(&credit, limit, members);
             let waits = decision == CreditDecision::AskCoordinator;
-            if let Some(query) = self.shared.rates.begin_asking(&credit, waits) {
+            if let Some(query) = self.shared.rates.begin_query(&credit, waits) {
                 self.query_coordinator(workspace, &credit, query);
             }
             match decision {
                 CreditDecision::Admit => return Ok(Some(CreditCharge(Arc::clone(&credit)))),
                 CreditDecision::Refuse(wait) => return Err(over_rate(limit, wait)),
-                CreditDecision::AskCoordinator if credit.is_asking() => notified.await,
+                CreditDecision::AskCoordinator if credit.is_querying() => notified.await,
                 // It has been answered just now.
                 CreditDecision::AskCoordinator => tokio::task::yield_now().await,
             }
@@ -63,18 +63,18 @@
     fn query_coordinator(
         &self,
         workspace: &CallerWorkspace,
-        credit: &Arc<Credit>,
+        credit: &Arc<WorkspaceCredit>,
         query: CreditQuery,
     ) {
         let (shared, pool) = (Arc::clone(&self.shared), Arc::clone(&self.pool));
         let (name, credit) = (workspace.name.clone(), Arc::clone(credit));
-        tokio::spawn(ask_for_credit(shared, pool, name, credit, query));
+        tokio::spawn(query_credit(shared, pool, name, credit, query));
     }
 }
 
 fn over_rate(limit: Limit, wait: std::time::Duration) -> Refusal {
     let detail = format!("{} and {} at once are used up", limit.rate, limit.burst);
     let mut refusal = Attempt::plan().refuse(Reason::OverRate, detail);
-    refusal.retry_after = Some(spread(wait));
+    refusal.retry_after = Some(add_jitter(wait));
     refusal
 }
