--- a/src/guard/announcement.rs
+++ b/src/guard/announcement.rs
@@ -1,4 +1,4 @@
-//! What the backend server announces of itself, and what follows for calls.
+//! Announcements of the backend server, and their effect on calls.
 
 use std::sync::atomic::Ordering;
 
@@ -14,8 +14,7 @@
         self.lease.lock().state(Instant::now())
     }
 
-    /// Takes an announcement or renewal of the backend server; returns whether
-    /// it had been away.
+    /// Grants or renews the lease of the backend server; returns whether it had none.
     pub fn renew_lease(&self, cold: bool) -> bool {
         let first = self.lease.lock().renew(Instant::now());
         if first {
@@ -29,8 +28,8 @@
         first
     }
 
-    /// Takes an announcement of one run of the backend server, which may come
-    /// late or out of order.
+    /// Processes an announcement of the backend server, which may arrive late or out
+    /// of order.
     pub fn receive_announcement(&self, announcement: &Announcement) -> Presented {
         let effect = self.presence.lock().announce(announcement);
         if effect != Presented::Renewed {
@@ -39,7 +38,7 @@
         match effect {
             Presented::Old => {}
             Presented::Leaving => self.drain(),
-            // What an operator has drained is not opened by a renewal.
+            // A renewal does not undo a drain requested by an operator.
             Presented::Renewed if self.lease_state() == LeaseState::Leaving => {}
             Presented::Arrived => self.start_run(announcement),
             Presented::Stays | Presented::Renewed => {
@@ -52,8 +51,10 @@
         effect
     }
 
-    /// Takes a new run of the backend server, of which nothing is known that
-    /// was learned of the run before, also if its lease has not ended.
+    /// Starts serving a new run of the backend server.
+    ///
+    /// Discards what was learned about the previous run, even if its lease has not
+    /// expired.
     fn start_run(&self, announcement: &Announcement) {
         self.set_announced_slots(announcement.slots);
         if self.stopping.load(Ordering::Relaxed) {
@@ -71,15 +72,15 @@
         self.gate.reload(self.slots(), self.protected());
     }
 
-    /// Takes note that a run of the backend server has ended or is about to.
-    pub fn record_goodbye(&self, server: &ServerId, born: Option<Born>) {
+    /// Records that a run of the backend server has ended or is about to.
+    pub fn record_departure(&self, server: &ServerId, born: Option<Born>) {
         if self.presence.lock().depart(server, born) {
             self.drain();
             self.shared.announced.notify_one();
         }
     }
 
-    /// Returns the run of the backend server that is present, if it said so.
+    /// Returns the current backend server, if it announced itself.
     pub fn server(&self) -> Option<ServerId> {
         self.presence.lock().server().cloned()
     }
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Takes note that a run of the backend server has ended, as its closed port
-    /// shows; it is served again from its next announcement on.
+    /// Ends the lease of a backend server whose port is closed; its next announcement
+    /// starts a new one.
     ///
-    /// Its guard is idle then, and by its load the best target there is: until
-    /// its lease lapsed, up to ten seconds, it drew every call only to refuse
-    /// it. The estate leaves it out in a tenth of a second so
+    /// Otherwise its idle guard is the least loaded target and attracts every call,
+    /// only to refuse it, until the lease expires up to ten seconds later. Ending
+    /// the lease takes it out of routing within a tenth of a second
     /// (`tests/crashed_server.rs`).
     pub(super) fn record_run_end(&self, server: Option<&ServerId>) {
         if self.server().as_ref() != server || self.lease_state() != LeaseState::Serving {
@@ -111,14 +112,13 @@
         self.shared.announced.notify_one();
     }
 
-    /// Refuses new calls for good, since the daemon stops.
+    /// Permanently refuses new calls because the daemon is stopping.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.drain();
     }
 
-    /// Renews the announcement of a backend server that has not been told to
-    /// leave.
+    /// Renews the lease unless the backend server is draining.
     pub fn renew_unless_draining(&self) {
         let mut lease = self.lease.lock();
         if lease.state(Instant::now()) != LeaseState::Leaving {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Refuses new calls; those in flight go on.
+    /// Refuses new calls; calls in flight continue.
     pub fn drain(&self) {
         self.lease.lock().drain();
         self.gate.close();
--- a/src/guard/backend.rs
+++ b/src/guard/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server on loopback, met by HTTP.
+//! HTTP client of the backend server on loopback.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -18,37 +18,38 @@
 
 type RequestBody = UnsyncBoxBody<Bytes, Cut>;
 
-/// Idle connections that are kept to the backend server.
+/// Maximum number of idle connections to the backend server.
 const MAX_IDLE_CONNECTIONS: usize = 256;
-/// How long a connection may be idle.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long connecting on loopback may take.
+/// Timeout of connecting on loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time in which a streamed body may make no progress.
+/// Maximum time for which a streamed body may make no progress.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How the backend server failed to answer.
+/// Failure to get an answer from the backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum BackendError {
-    /// No connection could be made; it has seen nothing.
+    /// Connecting failed; nothing was sent.
     Connect(Box<str>),
-    /// Nothing listens at its address; it has seen nothing.
+    /// Nothing listens at its address; nothing was sent.
     NoListener(Box<str>),
-    /// It closed early, or answered too little.
+    /// The connection closed before the answer was complete.
     ConnectionLost(Box<str>),
-    /// It crashed while it ran the call.
+    /// The server crashed while it ran the call.
     Crashed(CrashId),
-    /// Its answer was no HTTP, or none to this call.
+    /// The answer was not HTTP or not for this call.
     InvalidAnswer(Box<str>),
-    /// It said itself that it has not run the call, and perhaps when it will.
+    /// The server reported that it has not run the call, and optionally a delay
+    /// after which it will.
     NotRun(Option<Duration>),
-    /// Another run stands at its address and has not run the call.
+    /// Another server listens at the address and has not run the call.
     OtherServer(Option<ServerId>),
 }
 
 impl BackendError {
-    /// Tells whether it speaks against the backend server that stands there.
+    /// Returns whether it counts as a fault of the current backend server.
     pub(super) const fn is_fault(&self) -> bool {
         match self {
             Self::ConnectionLost(_) | Self::Crashed(_) | Self::InvalidAnswer(_) => true,
@@ -59,14 +60,14 @@
     }
 }
 
-/// A client of the backend server.
+/// HTTP client of the backend server.
 #[derive(Debug)]
 pub struct Backend {
     connections: Connections<RequestBody>,
 }
 
 impl Backend {
-    /// Makes a client of the backend server at `address`.
+    /// Creates a client of the backend server at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let dial = Dial {
             address,
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that exceeded the idle timeout.
     pub(super) fn trim(&self) {
         self.connections.trim();
     }
 
-    /// Sends a call and waits for the head of the answer.
+    /// Sends a call and waits for status and headers of the answer.
     pub(super) async fn send(
         &self,
         head: &CallHead,
@@ -107,8 +108,8 @@
 }
 
 impl Backend {
-    /// Tells whether nothing listens at its address any more. A connection
-    /// that can be made is kept for the next call.
+    /// Returns whether nothing listens at its address any more; a successful
+    /// connection is kept for the next call.
     pub(super) async fn has_no_listener(&self) -> bool {
         match self.connections.open().await {
             Err(RequestError::Connect(e)) => is_refused(&e),
@@ -117,15 +118,15 @@
     }
 }
 
-/// Makes a target without a host, as servers take it.
+/// Creates a request target in origin form, without a host.
 fn request_target(path: &str) -> Result<Uri, BackendError> {
-    let invalid = || BackendError::Connect("the target is no valid path".into());
+    let invalid = || BackendError::Connect("the request target is not a valid path".into());
     let mut parts = Parts::default();
     parts.path_and_query = Some(PathAndQuery::try_from(path).map_err(|_| invalid())?);
     Uri::from_parts(parts).map_err(|_| invalid())
 }
 
-/// Tells whether nothing listens at the address.
+/// Returns whether nothing listens at the address.
 fn is_refused(error: &std::io::Error) -> bool {
     error.kind() == ErrorKind::ConnectionRefused
 }
@@ -152,15 +153,15 @@
     }
 }
 
-/// What was read of an answer's body.
+/// Body of an answer, as far as it was read.
 pub(super) enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// It is large: what was read so far, and the rest.
+    /// Start of a large body, and the rest of it to be read.
     Large(Bytes, Incoming),
 }
 
-/// Reads an answer's body whole if it is small.
+/// Reads the complete body of an answer if it is small.
 pub(super) async fn read_small(mut body: Incoming) -> Result<AnswerBody, BackendError> {
     if body.size_hint().lower() > SMALL_BODY as u64 {
         return Ok(AnswerBody::Large(Bytes::new(), body));
@@ -179,7 +180,7 @@
     Ok(AnswerBody::Whole(whole.freeze()))
 }
 
-/// Passes the rest of a large body on; returns whether it arrived whole.
+/// Forwards a large body; returns whether it was forwarded completely.
 pub(super) async fn copy_body(
     first: Bytes,
     mut body: Incoming,
@@ -206,7 +207,7 @@
     send_chunk(to, Bytes::new()).await
 }
 
-/// Sends a chunk on, unless the receiver takes none for too long.
+/// Sends a chunk; returns whether the receiver took it in time.
 async fn send_chunk(to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>, chunk: Bytes) -> bool {
     matches!(
         tokio::time::timeout(PROGRESS_TIMEOUT, to.send(Ok(chunk))).await,
@@ -214,7 +215,7 @@
     )
 }
 
-/// Reads a body whole up to `limit` bytes; `None` if it is longer.
+/// Reads a complete body of up to `limit` bytes; returns `None` if it is longer.
 pub(super) async fn read_whole(
     first: Bytes,
     mut rest: Incoming,
@@ -233,7 +234,7 @@
     Ok(Some(whole.freeze()))
 }
 
-/// Makes the stream of a large body.
+/// Creates the payload of a large body.
 pub(super) fn stream(length: Option<u64>, chunks: Chunks) -> Payload {
     Payload::Stream { length, chunks }
 }
--- a/src/guard/crash.rs
+++ b/src/guard/crash.rs
@@ -1,4 +1,4 @@
-//! Whether the backend server crashed under a call.
+//! Detection of backend server crashes after a lost connection.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use super::Guard;
 use crate::model::CrashId;
 
-/// How long the backend server is asked for whether it is still there; on
-/// loopback a port without a listener answers at once.
+/// Timeout of connecting to check whether the backend server still listens; on
+/// loopback a port without a listener refuses at once.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What was last found out about the backend server.
+/// Result of one check of the backend server.
 #[derive(Clone, Copy, Debug)]
 struct ProbeResult {
     probed_at: Instant,
     crash: Option<CrashId>,
 }
 
-/// Tells a crash, which ends all calls under way, from an answer that was cut.
+/// Distinguishes a crash, which ends all calls in flight, from one lost connection.
 ///
-/// Of the calls that are cut at one time one looks, and the others take what
-/// it found.
+/// Of the calls that lose their connections at the same time, one checks the
+/// server and the others reuse its result.
 #[derive(Debug, Default)]
 pub(super) struct CrashProbe {
     last: Mutex<(Option<ProbeResult>, u64)>,
 }
 
 impl Guard {
-    /// Finds out whether the backend server crashed under a call that was sent
-    /// to it at `began` and was cut just now.
+    /// Returns the crash that ended a call, if there was one; the call was sent at
+    /// `sent_at` and has just lost its connection.
     pub(super) async fn detect_crash(&self, sent_at: Instant) -> Option<CrashId> {
         let lost_at = Instant::now();
         let mut state = self.crash_probe.last.lock().await;
--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -1,4 +1,4 @@
-//! Admission with waiting calls behind it.
+//! Admission of calls, with the tasks that wait for it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
     Admission, Decision, Event, Load, Met, Outcome, Settings, Shed, Token, Usage, Waiting, Weights,
 };
 
-/// Slot time and sheds by workspace, the greatest first.
+/// Slot time and shed calls by workspace, in descending order.
 pub type Usages = Vec<(Option<WorkspaceId>, Usage)>;
 
 pub(super) struct GateState {
     pub(super) admission: Admission,
     waiters: HashMap<Token, oneshot::Sender<Result<(), Shed>>>,
     next_token: u64,
-    /// Whether a task lets calls start that wait for the server's rate.
+    /// Whether a task is starting queued calls at the server's rate.
     pub(super) pacing: bool,
 }
 
-/// Lets calls through to the backend server in the order of admission.
+/// Starts calls to the backend server in the order of admission.
 pub struct Gate {
     pub(super) state: Mutex<GateState>,
 }
 
 impl Gate {
-    /// Makes the gate of a backend server.
+    /// Creates the gate of a backend server.
     pub fn new(settings: Settings) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(GateState {
@@ -47,11 +47,11 @@
     ///
     /// # Errors
     ///
-    /// Returns why the call is shed; it has not been started then.
+    /// Returns why the call was shed; it has not been started.
     pub async fn acquire_slot(self: &Arc<Self>, head: &CallHead) -> Result<SlotPermit, Shed> {
         let result = self.admit(head).await;
         match result {
-            // It is sent to another server.
+            // Not counted: the entry sends the call to another server.
             Err(Shed::Limited) if !head.waits => {}
             Err(_) => self.count_shed(head.workspace),
             Ok(_) => {}
@@ -98,8 +98,8 @@
         until: Instant,
         mut waiter: oneshot::Receiver<Result<(), Shed>>,
     ) -> Result<SlotPermit, Shed> {
-        // If the caller goes away the pass is dropped, which takes the call
-        // out of the queue or frees the slot that it was given meanwhile.
+        // If this future is cancelled, dropping the permit removes the call from
+        // the queue or frees the slot that it has been given.
         let permit = self.permit(token);
         loop {
             match tokio::time::timeout_at(until, &mut waiter).await {
@@ -125,32 +125,32 @@
         state.deliver(events);
     }
 
-    /// Refuses all new calls from now on and sheds those that wait.
+    /// Refuses all new calls and sheds the queued ones.
     pub fn close(&self) {
         self.update(Admission::leave);
     }
 
-    /// Takes calls again, for a backend server that has started anew.
+    /// Admits calls again, for a backend server that has just started.
     pub fn reopen_cold(&self, slots: Slots) {
         self.state.lock().admission.restart(slots);
     }
 
-    /// Forgets what was learned of the backend server's last run.
+    /// Discards what was learned about the previous run of the backend server.
     pub fn reset(&self, slots: Slots) {
         self.state.lock().admission.forget(slots);
     }
 
-    /// Takes calls again, for a backend server that has been running.
+    /// Admits calls again, for a backend server that kept running.
     pub fn reopen(&self) {
         self.state.lock().admission.rejoin();
     }
 
-    /// Takes changed rules.
+    /// Applies changed slots and protected classes.
     pub fn reload(&self, slots: Slots, protected: Option<ClassRank>) {
         self.state.lock().admission.reload(slots, protected);
     }
 
-    /// Shares slot time among workspaces by these weights, or no longer.
+    /// Shares slot time among workspaces by these weights; `None` ends sharing.
     pub fn set_weights(&self, weights: Option<Weights>) {
         self.state.lock().admission.share(Instant::now(), weights);
     }
@@ -161,26 +161,26 @@
         }
     }
 
-    /// Returns what the workspaces had of the slots, where they share.
+    /// Returns the usage of each workspace, if slot time is shared.
     pub fn usages(&self) -> Usages {
         let mut state = self.state.lock();
         let fair = state.admission.fair();
         fair.map_or_else(Vec::new, |fair| fair.spent().greatest())
     }
 
-    /// Returns the same of the time since it was last asked.
+    /// Returns the usage of each workspace since the last call of this method.
     pub fn take_recent_usages(&self) -> Usages {
         let mut state = self.state.lock();
         let fair = state.admission.fair();
         fair.map_or_else(Vec::new, |fair| fair.spent().take_lately())
     }
 
-    /// Returns what answers carry of this guard.
+    /// Returns the status that is sent with answers.
     pub fn status(&self) -> GuardNews {
         self.state.lock().admission.news(Instant::now())
     }
 
-    /// Returns when a caller may come back that was refused for `shed`.
+    /// Returns after which delay a caller refused for `shed` may retry.
     pub fn retry_after(&self, shed: Shed) -> Duration {
         let admission = &self.state.lock().admission;
         match shed {
@@ -189,12 +189,12 @@
         }
     }
 
-    /// Returns the load, and counts of calls since the last report.
+    /// Returns the load and the call counts since the last report.
     pub fn report(&self) -> Load {
         self.state.lock().admission.report(Instant::now())
     }
 
-    /// Returns calls in flight, calls that wait, and the limit.
+    /// Returns the numbers of calls in flight and queued calls, and the limit.
     pub fn load(&self) -> (usize, usize, usize) {
         let state = self.state.lock();
         let admission = &state.admission;
@@ -220,7 +220,7 @@
     }
 }
 
-/// Leave to run one call; the slot is free again when it is dropped.
+/// Permit to run one call; dropping it frees the slot.
 pub struct SlotPermit {
     gate: Arc<Gate>,
     token: Token,
@@ -228,17 +228,17 @@
 }
 
 impl SlotPermit {
-    /// Notes how the call ended, for the limit.
+    /// Sets how the call ended, as input to the concurrency limit.
     pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Notes whether the backend server failed the call by itself.
+    /// Records whether the backend server itself failed the call.
     pub fn record_fault(&self, faulty: bool) {
         self.gate.state.lock().admission.judge(faulty);
     }
 
-    /// Notes what the call met further down its chain.
+    /// Records the outcomes of the call's onward calls.
     pub fn record_downstream(&self, met: &[Met], answered: bool) {
         let mut state = self.gate.state.lock();
         state
--- a/src/guard/lease.rs
+++ b/src/guard/lease.rs
@@ -1,24 +1,24 @@
-//! The announcement of the backend server to its own daemon.
+//! Lease of the backend server at its own daemon.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long an announcement holds.
+/// How long an announcement keeps the lease valid.
 const LEASE_DURATION: Duration = Duration::from_secs(10);
 
 /// Whether the backend server takes calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It has not announced itself, or has not renewed in time.
+    /// It has not announced itself, or its lease has expired.
     Absent,
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It takes no new calls.
+    /// It accepts no new calls.
     Leaving,
 }
 
-/// The lease that the backend server holds by announcing itself.
+/// Lease that the backend server obtains by announcing itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
     expires_at: Option<Instant>,
@@ -32,7 +32,7 @@
 }
 
 impl Lease {
-    /// Makes the lease of a backend server that has not announced itself.
+    /// Creates the lease of a backend server that has not announced itself.
     pub const fn absent() -> Self {
         Self {
             expires_at: None,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes an announcement or a renewal; returns whether it is the first.
+    /// Starts or renews the lease; returns whether the server was not serving before.
     pub fn renew(&mut self, now: Instant) -> bool {
         let first = self.state(now) != LeaseState::Serving;
         self.expires_at = Some(now + LEASE_DURATION);
@@ -48,12 +48,12 @@
         first
     }
 
-    /// Takes note that the backend server takes no new calls.
+    /// Records that the backend server accepts no new calls.
     pub fn drain(&mut self) {
         self.leaving = true;
     }
 
-    /// Returns the state now.
+    /// Returns the state at `now`.
     pub fn state(&self, now: Instant) -> LeaseState {
         match self.expires_at {
             _ if self.leaving => LeaseState::Leaving,
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,4 +1,4 @@
-//! The guard: stands before the one backend server of its VM.
+//! The guard: admits calls to the one backend server of its VM and forwards them.
 
 mod announcement;
 mod backend;
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -1,4 +1,4 @@
-//! What the backend server says of itself with its answers.
+//! Notices that the backend server sends with its answers.
 
 use tokio::time::Instant;
 
@@ -7,22 +7,22 @@
 use crate::policy::admission::Shed;
 
 impl Guard {
-    /// Returns the run of the backend server that is present, if it said so.
+    /// Returns the current run of the backend server, if it announced itself.
     pub(super) fn run(&self) -> Option<RunId> {
         self.presence.lock().run()
     }
 
-    /// Takes what an answer to a call says that was sent at `sent`; what it
-    /// leaves out counts if it is `in_order`.
-    pub(super) fn record_notice(&self, sent_at: Instant, notice: Notice, in_order: bool) {
+    /// Records the notice in the answer to a call sent at `sent_at`; a missing rate
+    /// ends the limit only if the notice `is_complete`.
+    pub(super) fn record_notice(&self, sent_at: Instant, notice: Notice, is_complete: bool) {
         if notice.leaving
             && let Some(run) = self.run()
         {
             self.record_leaving(run);
         }
         match notice.rate {
-            NamedRate::None if !in_order => return,
-            NamedRate::Unreadable => self.log_notice("its rate is no number", None),
+            NamedRate::None if !is_complete => return,
+            NamedRate::Unreadable => self.log_notice("its rate is not a number", None),
             NamedRate::None | NamedRate::Some(_) => {}
         }
         let before = self.gate.rate();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes what an entry was told of the backend server before.
+    /// Applies a notice of the backend server that an entry relays.
     pub(super) fn apply_relayed_notice(&self, notice: Told) {
         if self.run() != Some(notice.run) {
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns what this guard tells of itself and of its backend server.
+    /// Returns the status of this guard and the last notice of its backend server.
     pub(super) fn status(&self) -> GuardNews {
         GuardNews {
             told: self.relayed_notice(),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Says more on why a call was shed, for people.
+    /// Returns a human-readable detail on why a call was shed.
     pub(super) fn detail(&self, shed: Shed) -> String {
         match (shed, self.gate.rate()) {
             (Shed::Limited, Some(rate)) => {
                 let room = self.gate.status().room.as_millis();
-                format!("its server takes {rate}, room in {room} ms")
+                format!("the server accepts {rate}, capacity in {room} ms")
             }
             _ => String::new(),
         }
@@ -77,7 +77,7 @@
         Some(Told { run, rate, leaving })
     }
 
-    /// Sends a run nothing more that said with an answer that it leaves.
+    /// Stops sending calls to a run that announced with an answer that it leaves.
     fn record_leaving(&self, run: RunId) {
         if !self.presence.lock().leave(run) {
             return;
--- a/src/guard/once_calls.rs
+++ b/src/guard/once_calls.rs
@@ -1,4 +1,4 @@
-//! Once calls at one guard: the ledger, and repeats that wait for a run.
+//! At-most-once calls of one guard: the ledger, and repeats that wait for a run.
 
 use std::collections::HashMap;
 
@@ -11,30 +11,30 @@
 use crate::model::{MintTime, OnceKey, Retries};
 use crate::policy::once::{Begin, Kept, Ledger, LedgerLimits, Refuse, State};
 
-/// How a run of a once call ended.
+/// Outcome of a run of an at-most-once call.
 #[derive(Clone, Debug)]
 pub(super) struct RunOutcome {
     pub(super) result: Result<Kept, Refusal>,
-    /// Retries that go home to the attempt that started the run.
+    /// Retries to return to the attempt that started the run.
     pub(super) account: Retries,
 }
 
-/// What to do with an arriving once call.
+/// What to do with an arriving at-most-once call.
 pub(super) enum OnceAction {
-    /// Run it and report the end; `resumed` if the key came before.
+    /// Run it and report the outcome; `resumed` if the key arrived before.
     Run {
         resumed: bool,
         outcome: OutcomeReceiver,
     },
-    /// Wait for the run that is under way.
+    /// Wait for the run in progress.
     Attach(OutcomeReceiver),
-    /// Give this answer.
+    /// Return this stored answer.
     Answer(Kept),
-    /// Refuse it.
+    /// Refuse it for this reason.
     Refuse(Refuse),
 }
 
-/// Receives the end of a run.
+/// Receives the outcome of a run.
 pub(super) type OutcomeReceiver = watch::Receiver<Option<RunOutcome>>;
 
 struct OnceState {
@@ -42,13 +42,13 @@
     running: HashMap<OnceKey, watch::Sender<Option<RunOutcome>>>,
 }
 
-/// The ledger with the runs under way.
+/// The ledger and the runs in progress.
 pub struct OnceCalls {
     state: Mutex<OnceState>,
 }
 
 impl OnceCalls {
-    /// Makes an empty ledger with bounds.
+    /// Creates an empty ledger with these limits.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             state: Mutex::new(OnceState {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes changed bounds.
+    /// Applies changed limits.
     pub fn set_limits(&self, limits: LedgerLimits) {
         self.state.lock().ledger.set_limits(limits);
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Looks for the outcome of a key without starting anything.
+    /// Looks up the outcome of a key without starting it.
     pub(super) fn inquire(&self, key: &OnceKey) -> OnceAction {
         let state = self.state.lock();
         match state.ledger.get(key).map(|entry| &entry.state) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Ends a run.
+    /// Ends a run and passes its outcome to all who wait for it.
     pub(super) fn finish_run(&self, key: &OnceKey, update: LedgerUpdate, outcome: RunOutcome) {
         let mut state = self.state.lock();
         match (update, &outcome.result) {
@@ -111,12 +111,13 @@
         }
     }
 
-    /// Starts no key from now on, for good.
+    /// Permanently stops starting keys.
     pub fn stop(&self) {
         self.state.lock().ledger.stop();
     }
 
-    /// Returns the entries and the bound of forgotten keys, for a hand-over.
+    /// Returns the entries, and the mint time up to which keys are forgotten, for a
+    /// hand-over.
     pub fn export(&self) -> (Vec<(OnceKey, State, u64)>, MintTime) {
         let state = self.state.lock();
         let entries = state
@@ -127,8 +128,8 @@
         (entries, state.ledger.forgotten())
     }
 
-    /// Takes over the ledger of an instance that stops; `false` if this one
-    /// stops itself.
+    /// Adopts the ledger of an instance that is stopping; returns `false` and adopts
+    /// nothing if this instance is stopping as well.
     pub fn adopt(
         &self,
         now: MintTime,
@@ -146,37 +147,37 @@
         true
     }
 
-    /// Tells whether a call with `key` can be answered without starting it.
+    /// Returns whether a call with `key` can be answered without starting it.
     pub fn has_begun(&self, key: &OnceKey) -> bool {
         self.state.lock().ledger.has_begun(key)
     }
 
-    /// Returns the number of runs under way, those not yet started included.
+    /// Returns the number of runs in progress, including those not yet started.
     pub fn in_flight(&self) -> usize {
         self.state.lock().running.len()
     }
 
-    /// Returns the number of keys and the bytes that are accounted for.
+    /// Returns the number of keys and their accounted size in bytes.
     pub fn size(&self) -> (usize, usize) {
         let state = self.state.lock();
         (state.ledger.len(), state.ledger.bytes())
     }
 }
 
-/// What the end of a run means for the ledger.
+/// Change of the ledger at the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LedgerUpdate {
-    /// It ran and was answered.
+    /// The call ran and was answered.
     Finish,
-    /// It may have run.
+    /// The call may have run; its outcome is unknown.
     Lose,
-    /// It did not run and may be started later.
+    /// The call did not run and may be started later.
     Release,
-    /// Another instance owns it.
+    /// The key must not be started here; its entry is removed.
     Retract,
 }
 
-/// Hashes what must be the same in a repeat: method, target and body.
+/// Hashes method, target and body, which must be the same in a repeat.
 pub fn body_hash(head: &CallHead, body: &Bytes) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(head.method.as_str().as_bytes());
--- a/src/guard/pacing.rs
+++ b/src/guard/pacing.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for the rate that the backend server named.
+//! Starts of queued calls at the rate that the backend server requested.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use crate::model::{NamedRate, Rate};
 
 impl Gate {
-    /// Takes what an answer to a call says that was sent at `sent`; returns
-    /// whether that changes the rate.
+    /// Records the rate named in the answer to a call sent at `sent_at`; returns
+    /// whether it changed.
     pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: NamedRate) -> bool {
         let now = Instant::now();
         let changed = self.state.lock().admission.hear_rate(now, sent_at, rate);
@@ -20,7 +20,7 @@
         changed
     }
 
-    /// Takes a rate that another daemon heard of; returns whether it is news.
+    /// Adopts a rate that another daemon relayed; returns whether it changed.
     pub fn adopt_rate(self: &Arc<Self>, rate: Rate) -> bool {
         let now = Instant::now();
         let changed = self.state.lock().admission.adopt_rate(now, rate);
@@ -30,12 +30,12 @@
         changed
     }
 
-    /// Returns the rate that the backend server named, if it holds.
+    /// Returns the rate that the backend server requested, if it is still in force.
     pub fn rate(&self) -> Option<Rate> {
         self.state.lock().admission.rate()
     }
 
-    /// Has waiting calls started at the server's rate, if there are any.
+    /// Spawns a task that starts queued calls at the server's rate, if needed.
     pub(super) fn pace(self: &Arc<Self>, now: Instant) {
         let mut state = self.state.lock();
         let Some(next) = state.admission.next_start(now) else {
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -1,4 +1,4 @@
-//! What a call's end at the backend server means for its entry.
+//! Replies and refusals to the entry for calls that were sent to the backend server.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -53,8 +53,7 @@
         self.close_call(refusal, held)
     }
 
-    /// Takes note of how a call ended; returns whether calls were made onwards
-    /// for it.
+    /// Records how a call ended; returns whether it made onward calls.
     pub(super) fn record_end(
         &self,
         slot: &mut SlotPermit,
@@ -80,8 +79,8 @@
         !met.is_empty()
     }
 
-    /// Makes the reply; a large body is passed on by a task that keeps the
-    /// slot until its end.
+    /// Creates the reply; a task forwards a large body and holds the slot until the
+    /// body ends.
     pub(super) fn reply(
         &self,
         answer: ServerAnswer,
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -1,4 +1,4 @@
-//! The way of a call that must run at most once, by its key.
+//! Handling of calls that must run at most once per idempotency key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use crate::tables::{Held, mint_now};
 use crate::web::Payload;
 
-/// How long the outcome of a once call is waited for after its deadline.
+/// How long a run may exceed the call's deadline before its outcome counts as lost.
 const OUTCOME_GRACE: Duration = Duration::from_secs(30);
-/// Largest answer to a once call, in bytes.
+/// Maximum size of an answer to an at-most-once call.
 const MAX_ONCE_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 impl Guard {
@@ -68,11 +68,11 @@
         }
     }
 
-    /// Tells what became of a once call, without starting anything.
+    /// Returns the outcome of an at-most-once call without starting it.
     ///
     /// # Errors
     ///
-    /// Returns what is known in place of an answer.
+    /// Returns the refusal if no answer to the key is stored.
     pub async fn inquire(
         &self,
         attempt: Attempt<Planned>,
@@ -95,7 +95,7 @@
                     .map(|kept| self.stored_reply(kept, none, true)),
                 None => Err(attempt.lose(Reason::Timeout, "")),
             },
-            _ => Err(attempt.lose(Reason::Timeout, "the call still runs")),
+            _ => Err(attempt.lose(Reason::Timeout, "the call is still running")),
         }
     }
 
@@ -115,7 +115,8 @@
                 status,
                 headers,
                 account,
-                // Kept answers do not tell, and calls with a key are not judged.
+                // Stored answers don't record this, and entries don't use it for
+                // calls with a key.
                 onward: false,
                 news: self.status(),
                 kept: repeated,
@@ -139,15 +140,15 @@
             account,
         };
         if let OnceKey::Opaque(_) = key
-            && let Err(lost) = self.claim(&key, resumed).await
+            && let Err(error) = self.claim(&key, resumed).await
         {
-            let mut refusal = attempt.refuse_once(lost.reason);
-            if let Some(owner) = lost.owner {
+            let mut refusal = attempt.refuse_once(error.reason);
+            if let Some(owner) = error.owner {
                 refusal.detail = owner.to_string().into();
             }
             return self
                 .once
-                .finish_run(&key, lost.update, not_started(refusal));
+                .finish_run(&key, error.update, not_started(refusal));
         }
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
@@ -195,7 +196,7 @@
             .finish_run(&key, update, RunOutcome { result, account });
     }
 
-    /// Claims a key that carries no mint time in the table service.
+    /// Claims a key without a mint time in the platform's table service.
     async fn claim(&self, key: &OnceKey, resumed: bool) -> Result<(), ClaimError> {
         let own = self.shared.instance;
         let claim = Claim {
@@ -205,7 +206,7 @@
         let content = serde_json::to_vec(&claim).unwrap_or_default().into();
         let name = claim_key(self.service(), key);
         let table = self.shared.platform.as_ref();
-        let lost = |reason, update, owner| {
+        let fail = |reason, update, owner| {
             Err(ClaimError {
                 reason,
                 update,
@@ -216,22 +217,22 @@
             Settled::Written(_) => return Ok(()),
             Settled::Lost(row) => row,
             Settled::NotSent(_) | Settled::Unsettled(_) => {
-                return lost(Refuse::NoPlatform, LedgerUpdate::Release, None);
+                return fail(Refuse::NoPlatform, LedgerUpdate::Release, None);
             }
         };
         let found = row.and_then(|row| serde_json::from_slice(&row.content).ok());
         match found.map(|found| judge_claim(found, own, claim.nonce)) {
             Some(ClaimCheck::Won) => Ok(()),
             Some(ClaimCheck::OwnEarlier) if resumed => Ok(()),
-            Some(ClaimCheck::OwnEarlier) => lost(Refuse::Forgotten, LedgerUpdate::Retract, None),
+            Some(ClaimCheck::OwnEarlier) => fail(Refuse::Forgotten, LedgerUpdate::Retract, None),
             Some(ClaimCheck::Other(owner)) => {
-                lost(Refuse::WrongOwner, LedgerUpdate::Retract, Some(owner))
+                fail(Refuse::WrongOwner, LedgerUpdate::Retract, Some(owner))
             }
-            None => lost(Refuse::OutcomeLost, LedgerUpdate::Retract, None),
+            None => fail(Refuse::OutcomeLost, LedgerUpdate::Retract, None),
         }
     }
 
-    /// Asks for an answer that is read whole, as the ledger needs it.
+    /// Sends the call and reads the complete answer, which the ledger stores.
     async fn request_whole(
         &self,
         head: &CallHead,
@@ -243,7 +244,9 @@
         };
         let whole = read_whole(first, rest, MAX_ONCE_ANSWER_BYTES).await?;
         let whole = whole.ok_or_else(|| {
-            BackendError::InvalidAnswer("the answer to a once call is larger than 4 MiB".into())
+            BackendError::InvalidAnswer(
+                "the answer to an at-most-once call is larger than 4 MiB".into(),
+            )
         })?;
         Ok(ServerAnswer {
             body: AnswerBody::Whole(whole),
@@ -252,7 +255,7 @@
     }
 }
 
-/// A key that this instance could not claim.
+/// Failure to claim a key for this instance.
 struct ClaimError {
     reason: Refuse,
     update: LedgerUpdate,
--- a/src/guard/run_permit.rs
+++ b/src/guard/run_permit.rs
@@ -1,5 +1,6 @@
-//! Requests that were under way at crashes run here beside few others, or
-//! alone, until one of them is known as the cause.
+//! Limits on running suspects, the requests that were in flight at a crash.
+//!
+//! A server runs few of them at a time, or one, until the cause is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,48 +13,48 @@
 use crate::policy::admission::Shed;
 use crate::policy::crash::Standing;
 
-/// Requests that were under way at one crash and run here at one time. The
-/// next crash leaves so many suspects, which then run one by one; with 60 calls
-/// under way at a crash and three servers left, the last of them waits for two
-/// others.
+/// Suspects of a single crash that run here at the same time.
+///
+/// The next crash leaves at most this many suspects, which then run one at a time.
+/// With 60 calls in flight at a crash and three servers left, the last suspect
+/// waits for two others.
 const MAX_LIMITED_SUSPECTS: usize = 8;
-/// How long a suspect waits for its turn, at most; its caller is told that it
-/// has not run then.
+/// Maximum wait of a suspect for its permit; it is then refused as not run.
 const MAX_SUSPECT_WAIT: Duration = Duration::from_secs(1);
 
-/// Leave of suspects to run.
+/// Semaphores that limit the suspects running here.
 #[derive(Debug)]
 pub(super) struct SuspectLimits {
     limited: Arc<Semaphore>,
-    isolated: Arc<Semaphore>,
+    exclusive: Arc<Semaphore>,
 }
 
 impl Default for SuspectLimits {
     fn default() -> Self {
         Self {
             limited: Arc::new(Semaphore::new(MAX_LIMITED_SUSPECTS)),
-            isolated: Arc::new(Semaphore::new(1)),
+            exclusive: Arc::new(Semaphore::new(1)),
         }
     }
 }
 
-/// Leave to run one call; a suspect's counts until it is dropped.
+/// Permit to run one call; that of a suspect is released when dropped.
 #[derive(Debug)]
 pub(super) struct RunPermit {
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Why a suspect does not run here now.
+/// Why a suspect may not run here now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunRefusal {
-    /// It is known to crash servers, and is held for this long.
+    /// It crashes servers and is quarantined for this long.
     Quarantined(Duration),
-    /// Others had their turn before it.
+    /// Other suspects held the permits for too long.
     Busy,
 }
 
 impl RunRefusal {
-    /// Refuses a call for this.
+    /// Refuses a call for this reason.
     pub(super) fn refuse(self, attempt: Attempt<Planned>) -> Refusal {
         match self {
             Self::Quarantined(left) => refuse_quarantined(attempt, left),
@@ -62,7 +63,7 @@
     }
 }
 
-/// Refuses a call that is held, until that ends.
+/// Refuses a quarantined call, to be retried when the quarantine ends.
 pub(crate) fn refuse_quarantined(attempt: Attempt<Planned>, left: Duration) -> Refusal {
     let mut refusal = attempt.refuse(Reason::QueryOfDeath, "servers that ran it crashed");
     refusal.retry_after = Some(left);
@@ -70,7 +71,7 @@
 }
 
 impl Guard {
-    /// Waits until a call may run beside the suspects that run here.
+    /// Waits until the limits on suspects let a call run.
     pub(super) async fn acquire_run_permit(
         &self,
         head: &CallHead,
@@ -85,9 +86,9 @@
                 _ if restriction == granted => return Ok(RunPermit { _permit: permit }),
                 Standing::Clear => return Ok(RunPermit { _permit: None }),
                 Standing::Few => &self.suspect_limits.limited,
-                Standing::Alone => &self.suspect_limits.isolated,
+                Standing::Alone => &self.suspect_limits.exclusive,
             };
-            // What it had goes back first: others wait for that.
+            // Released before waiting, since other suspects wait for it.
             drop(permit.take());
             let acquired =
                 tokio::time::timeout_at(give_up_at, Arc::clone(semaphore).acquire_owned());
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Checks, just before a call is sent, that nothing was learned of it while
-    /// it waited for a slot.
+    /// Checks, just before a call is sent, that it was not quarantined while it
+    /// waited for a slot.
     pub(super) fn check_not_quarantined(&self, head: &CallHead) -> Result<(), RunRefusal> {
         match self.restriction(head) {
             Standing::Held(left) => Err(RunRefusal::Quarantined(left)),
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a call from the gate to the backend server and back.
+//! Handling of a call from admission to the backend server's answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,10 +20,10 @@
 use crate::tables::{Detail, Held, Shared, Step};
 use crate::web::Payload;
 
-/// Slots of a backend server whose service is not declared yet.
+/// Slots assumed until the configuration declares the service.
 const UNDECLARED_SLOTS: Slots = Slots::new(1);
 
-/// Stands before the one backend server of the VM.
+/// Admits calls to the one backend server of the VM and forwards them.
 pub struct Guard {
     pub(super) shared: Arc<Shared>,
     pub(super) gate: Arc<Gate>,
@@ -39,7 +39,7 @@
 }
 
 impl Guard {
-    /// Makes the guard of a daemon; tasks that outlive a call run on `handle`.
+    /// Creates the guard of a daemon; tasks that outlive a call run on `handle`.
     pub fn new(shared: Arc<Shared>, handle: Handle) -> Arc<Self> {
         let settings = Settings {
             slots: UNDECLARED_SLOTS,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns the service that it guards.
+    /// Returns the service of the guarded backend server.
     pub fn service(&self) -> &ServiceName {
         &self.shared.config.service
     }
@@ -76,18 +76,17 @@
         &self.gate
     }
 
-    /// Returns the once calls.
+    /// Returns the ledger of at-most-once calls.
     pub fn once(&self) -> &OnceCalls {
         &self.once
     }
 
-    /// Closes connections to the backend server that have been idle for too
-    /// long.
+    /// Closes connections to the backend server that exceeded the idle timeout.
     pub fn trim(&self) {
         self.backend.trim();
     }
 
-    /// Takes the rules in force.
+    /// Applies the current configuration.
     pub fn reload(&self) {
         let Some(in_force) = self.shared.current.get() else {
             return;
@@ -114,7 +113,7 @@
         usable(self.announced_slots().unwrap_or_else(|| self.declared()))
     }
 
-    /// Returns the slots by the rules in force.
+    /// Returns the slots that the current configuration declares.
     fn declared(&self) -> Slots {
         self.shared
             .current
@@ -130,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what to tell the caller in place of an answer.
+    /// Returns the refusal if the backend server did not answer the call.
     pub async fn serve(self: &Arc<Self>, call: Call) -> Result<Reply, Refusal> {
         let attempt = Attempt::with_id(call.head.attempt);
         let account = call.head.account;
@@ -142,11 +141,11 @@
             Ok(()) => match (&call.head.once, call.body) {
                 (Some(once), Payload::Whole(body)) => {
                     let once = once.clone();
-                    // On the heap, so that other calls need no room for it.
+                    // Boxed to keep the future of all other calls small.
                     Box::pin(self.serve_once(attempt, call.head, once, body)).await
                 }
                 (Some(_), Payload::Stream { .. }) => {
-                    let detail = "a once call must be sent whole";
+                    let detail = "a call with an idempotency key must be sent with a complete body";
                     Err(self.return_retries(attempt.refuse(Reason::TooLarge, detail), account))
                 }
                 (None, body) => {
@@ -180,14 +179,14 @@
         let begun = |once: &OnceCall| self.once.has_begun(&once.key);
         match self.lease_state() {
             LeaseState::Serving => Ok(()),
-            // A repeat that starts nothing is answered to the end.
+            // Repeats of a key that was already started are still answered.
             LeaseState::Leaving if head.once.as_ref().is_some_and(begun) => Ok(()),
             LeaseState::Leaving => Err(Reason::Shed(Shed::Leaving)),
             LeaseState::Absent => Err(Reason::Unreachable),
         }
     }
 
-    /// Sends the whole account home with a refusal; nothing of it was used.
+    /// Adds all retries that the call brought to the refusal; none was used.
     pub(super) fn return_retries(&self, mut refusal: Refusal, account: Retries) -> Refusal {
         refusal.account = account;
         refusal
--- a/src/guard/server_request.rs
+++ b/src/guard/server_request.rs
@@ -1,4 +1,4 @@
-//! One question to the backend server, and what it says of the server.
+//! One request to the backend server, and what its result says about the server.
 
 use http::{HeaderMap, StatusCode};
 use hyper::body::Body;
@@ -10,7 +10,7 @@
 use crate::model::ServerId;
 use crate::web::Payload;
 
-/// The backend server's answer, its body read so far as it is small.
+/// Answer of the backend server; a small body has been read completely.
 pub(super) struct ServerAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
@@ -19,19 +19,19 @@
 }
 
 impl ServerAnswer {
-    /// Tells whether the backend server went through with the call: it did not
-    /// fail it on the way, and the answer is here whole.
+    /// Returns whether the backend server completed the call: it reported no error,
+    /// and the answer was read completely.
     fn is_final(&self) -> bool {
         !self.status.is_server_error() && matches!(self.body, AnswerBody::Whole(_))
     }
 }
 
 impl Guard {
-    /// Asks the backend server; tells a crash from an answer that was cut.
+    /// Sends a call; distinguishes a crash from a lost connection.
     ///
-    /// What is learned of the request outlives it, since a query of death comes
-    /// again under other ids: held after three crashes, it ends no more servers
-    /// where it ended 25 in eight seconds (`tests/query_of_death.rs`).
+    /// What is learned about the request outlives the call, since a query of death
+    /// returns under other ids. Without quarantine after three crashes such a request
+    /// ended 25 servers in eight seconds (`tests/query_of_death.rs`).
     pub(super) async fn request(
         &self,
         head: &CallHead,
@@ -75,9 +75,9 @@
         let meaning = protocol.meaning(head, parts.status, &parts.headers);
         let notice = protocol.notice(&parts.headers);
         if matches!(meaning, Meaning::Answer | Meaning::NotRun) && run == self.run() {
-            // A refusal or an error says nothing by what it leaves out.
-            let in_order = meaning == Meaning::Answer && !parts.status.is_server_error();
-            self.record_notice(sent_at, notice, in_order);
+            // A header missing from a refusal or an error has no meaning.
+            let is_complete = meaning == Meaning::Answer && !parts.status.is_server_error();
+            self.record_notice(sent_at, notice, is_complete);
         }
         match meaning {
             Meaning::Answer => {}
@@ -87,7 +87,7 @@
                 return Err(BackendError::OtherServer(found));
             }
             Meaning::Garbage => {
-                let cause = "the answer is to another call, or no server's";
+                let cause = "the answer belongs to another call or is not from a backend server";
                 return Err(BackendError::InvalidAnswer(cause.into()));
             }
         }
--- a/src/guard/usage.rs
+++ b/src/guard/usage.rs
@@ -1,4 +1,4 @@
-//! What the workspaces had of this guard's slots, by name.
+//! Usage of this guard's slots by workspace name.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::model::WorkspaceId;
 use crate::policy::admission::Weights;
 
-/// Returns the weights of workspaces.
+/// Returns the weights of the workspaces that have a rate limit.
 pub(super) fn weights(workspaces: &Workspaces) -> Weights {
     let rates = workspaces.all().iter().filter_map(|workspace| {
         let limit = workspace.limit?;
@@ -18,12 +18,13 @@
 }
 
 impl Guard {
-    /// Returns the workspaces that had most slot time, where they share it.
+    /// Returns the workspaces that used most slot time, if it is shared.
     pub fn usages(&self) -> Vec<WorkspaceRow> {
         self.workspace_rows(self.gate.usages())
     }
 
-    /// Returns the same of the time since it was last asked.
+    /// Returns the workspaces that used most slot time since the last call of this
+    /// method.
     pub fn take_recent_usages(&self) -> Vec<WorkspaceRow> {
         self.workspace_rows(self.gate.take_recent_usages())
     }
--- a/src/platform/beat.rs
+++ b/src/platform/beat.rs
@@ -96,7 +96,7 @@
             Err(cause) => refused(&server, &cause),
         },
         Method::DELETE => {
-            guard.record_goodbye(&server, goodbye(body).await);
+            guard.record_departure(&server, goodbye(body).await);
             spdlog::info!("backend server says goodbye", kv: { server = server.as_str() });
             acknowledged()
         }
--- a/tests/crashed_server.rs
+++ b/tests/crashed_server.rs
@@ -1,10 +1,10 @@
 //! A backend server that crashes while its daemon goes on.
 //!
-//! The load answered here: one of a few servers ends, and the guard before it is
-//! idle, so that by its load it is the best target of every call. It refuses
-//! each, and after three such detours a call is refused though other servers have
-//! room. The grounds for the figures: servers announce themselves every second
-//! or two, news goes around in a tenth of a second, and a lease lasts for ten.
+//! Guards against routing to the guard of a crashed server. It is idle and therefore
+//! the least loaded target, but refuses every call; after three such attempts a call
+//! is refused although other servers have capacity. The time limits follow from
+//! announcements every one or two seconds, gossip within a tenth of a second and a
+//! lease of ten seconds.
 
 #![allow(missing_docs)]
 
@@ -20,12 +20,12 @@
 use support::eventually;
 use support::hosted::{Vm, document, store, vm_beside};
 
-/// How long the server is away; longer than the test.
+/// How long the server is down; longer than the test.
 const RESTART_TIME: Duration = Duration::from_secs(30);
-/// Calls that are asked at the same time. One by one, all of ten go to the other
-/// server in about two runs of a hundred, so that nobody meets the one that is gone.
+/// Concurrent calls. With sequential calls, about two test runs in a hundred send all
+/// ten to the other server and never reach the crashed one.
 const CONCURRENT_CALLS: usize = 8;
-/// Time in which an estate must know that a server is gone.
+/// Time within which all daemons must know that a server has crashed.
 const DETECTION_LIMIT: Duration = Duration::from_secs(2);
 
 fn serving_targets(entry: &Vm) -> usize {
@@ -37,7 +37,7 @@
 }
 
 async fn wait_serving(entry: &Vm, count: usize) {
-    eventually("the servers that take calls", || async {
+    eventually("the serving targets", || async {
         (serving_targets(entry) == count).then_some(())
     })
     .await;
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -1,15 +1,11 @@
-//! A request that crashes each backend server that runs it.
+//! A request that crashes every backend server that runs it (query of death).
 //!
-//! Seen: the servers of one service ended one after the other for a quarter of a
-//! minute, came back after some seconds and ended again, one of them a tenth of
-//! a second after it had announced itself, with five calls of 119 slots under
-//! way. How it came about: one request crashed each server that began to run
-//! it. Its entry sent it to a second server at once, as it does with any call
-//! that may be repeated, and when the caller came again, anywhere, nobody knew
-//! it, so that the next server ran it too. Cause: what is known of a failed
-//! attempt ends with that attempt, and ids are of one attempt. Proof: these
-//! tests, without the operators' platform: servers that crash under one path
-//! alone are kept down by one caller that comes again twenty times a second.
+//! Guards against retries that spread such a request over all servers of a service.
+//! The entry retries it on a second server, and the caller repeats it under new ids.
+//! If daemons remember only attempts, nothing links the repeats, and one caller that
+//! sends twenty requests a second keeps all servers down. In one incident servers
+//! crashed in turn for 15 seconds, one of them 0.1 seconds after its announcement
+//! with 5 of 119 slots in use.
 
 #![allow(missing_docs)]
 
@@ -26,17 +22,17 @@
 use support::hosted::{Vm, document, store, vm_beside};
 use support::rows::RowsStandIn;
 
-/// How long after the third crash a request may still reach servers, as the
-/// operators state it; and how often it may after that.
+/// How long after the third crash a request may still reach servers, as required by
+/// the operators.
 const LEARNING_TIME: Duration = Duration::from_secs(3);
+/// How often it may reach servers after that.
 const MAX_LATE_RUNS: usize = 3;
-/// How long a server is away after a crash.
+/// How long a server is down after a crash.
 const RESTART_TIME: Duration = Duration::from_millis(600);
-/// How long callers come.
+/// How long callers send requests.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
 
-/// Three servers of `svc`, and two VMs of other services beside which callers
-/// stand.
+/// Three servers of `svc`, and two VMs of other services with entries for callers.
 struct Estate {
     servers: Vec<CrashingVm>,
     till: Arc<Vm>,
@@ -44,7 +40,7 @@
     _platform: Platform,
 }
 
-/// The platform, which lasts.
+/// The platform, which outlives the daemons.
 #[derive(Clone)]
 struct Platform {
     address: SocketAddr,
@@ -101,7 +97,7 @@
         }
     }
 
-    /// Loses all daemons at once; what is on the platform stays.
+    /// Kills all daemons at once; the platform keeps its data.
     async fn kill_daemons(self) {
         let servers = self.servers.iter().map(|server| Arc::clone(&server.vm));
         let vms: Vec<Arc<Vm>> = servers.chain([self.till, self.logbay]).collect();
@@ -128,7 +124,7 @@
         runs.map(|run| run.at).collect()
     }
 
-    /// Checks that after some time the servers are kept from a deadly request.
+    /// Checks that a deadly request reaches almost no servers once it is known.
     fn check_runs_stop(&self, path: &str) {
         let crashes = self.crashes();
         assert!(crashes.len() >= 3, "{} crashes", crashes.len());
@@ -137,13 +133,13 @@
         let ended = crashes.len();
         assert!(
             later <= MAX_LATE_RUNS,
-            "reached servers {later} times after three had ended and all could know; {ended} \
-             ended in all"
+            "reached servers {later} times after all could know of the third crash; {ended} \
+             crashes in total"
         );
     }
 }
 
-/// Sends the same request again and again, at one entry after the other.
+/// Sends the same request repeatedly, alternating between the entries.
 async fn repeat_request(entries: [Arc<Vm>; 2], path: &'static str, until: Instant) -> Vec<Answer> {
     let mut tasks = Vec::new();
     let mut count = 0;
@@ -163,7 +159,7 @@
     answers
 }
 
-/// How one of the other callers fared, who comes twice more if it must.
+/// Answers to one of the other callers, which retries up to twice.
 struct CallerResult {
     began: Instant,
     answers: Vec<Answer>,
@@ -193,7 +189,7 @@
     CallerResult { began, answers }
 }
 
-/// Sends other requests, each of its own, through both entries.
+/// Sends other requests, each with its own path, through both entries.
 async fn send_other_requests(entries: [Arc<Vm>; 2], until: Instant) -> Vec<CallerResult> {
     let mut tasks = Vec::new();
     let mut count = 0;
@@ -234,8 +230,8 @@
     }
 }
 
-/// A request that only the servers' answer to one caller crashes is kept from
-/// them for that caller alone.
+/// A request that crashes servers for one caller only is quarantined for that caller
+/// only.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn deadly_request_of_one_caller_is_served_to_another() {
     let estate = Estate::start().await;
@@ -247,14 +243,14 @@
     let crashes = estate.crashes();
     let known = crashes[2] + LEARNING_TIME;
     let later = crashes.iter().filter(|at| **at > known).count();
-    assert!(later <= MAX_LATE_RUNS, "{later} servers ended later");
+    assert!(later <= MAX_LATE_RUNS, "{later} servers crashed later");
     let status = |answer: Option<&Answer>| answer.map(|answer| answer.status);
     assert_eq!(status(deadly.last()), Some(StatusCode::SERVICE_UNAVAILABLE));
     assert_eq!(status(harmless.last()), Some(StatusCode::OK));
 }
 
-/// Servers that end for another reason under a request speak against it, until
-/// one has answered it.
+/// Crashes with another cause count against the requests in flight only until a
+/// server has answered them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn answered_request_is_served_after_unrelated_crashes() {
     let estate = Estate::start().await;
@@ -278,8 +274,8 @@
     }
 }
 
-/// All daemons may be lost at once, and with them all that they know of requests
-/// that crash servers; the caller comes again to those that start in their place.
+/// Guards against a quarantine that is lost when all daemons fail at once and the
+/// caller repeats the request to their replacements.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn quarantine_survives_loss_of_all_daemons() {
     let platform = Platform::start().await;
--- a/tests/server_leaving.rs
+++ b/tests/server_leaving.rs
@@ -1,8 +1,7 @@
-//! Backend servers that say with their answers that they are about to stop.
+//! Backend servers that announce with their answers that they are about to stop.
 //!
-//! The load answered here: a server stops while callers go on, and its word in
-//! answers comes before its announcement, or alone. Callers need each request
-//! to go to a server that will still be there when it is to be answered.
+//! The notice in an answer may arrive before the server's announcement, or without
+//! one. Requests must go to servers that will still be running to answer them.
 
 #![allow(missing_docs)]
 
@@ -14,11 +13,11 @@
 use support::eventually;
 use support::hosted::{document, store, vm, vm_beside};
 
-/// Time from which on a leaving server may get nothing more.
+/// Time after which a leaving server must receive no more requests.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-// Guards against a server that says only with its answers that it leaves, and
-// goes on getting requests until it is gone.
+// Guards against sending requests until the end to a server that announces its stop
+// only with its answers.
 #[tokio::test]
 async fn leaving_server_receives_no_requests() {
     let (address, rows, _listening) = store().await;
@@ -31,7 +30,7 @@
     assert_eq!(answer.status, StatusCode::OK);
     let notified_at = Instant::now();
     tokio::time::sleep(DRAIN_TIME).await;
-    // Its announcements may be older than the word, and come later.
+    // An older announcement may arrive after the notice.
     vm.announce("ready", 2).await;
     let answer = vm.ask(Method::POST, "/write/2", "r2").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -41,8 +40,8 @@
     assert_eq!(late, 0);
 }
 
-// Guards against a daemon that starts again beside a server that leaves, and takes
-// a late announcement for a server that stays, though entries know better.
+// Guards against a restarted daemon that trusts a late announcement of a leaving
+// server, although entries know that the server is leaving.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restarted_guard_learns_from_entries_that_its_server_leaves() {
     let (address, rows, _listening) = store().await;
@@ -52,7 +51,7 @@
     let entry = vm_beside("till", address).await;
     entry.wait_ready().await;
     leaving.seen.say(&[("server-leaving", "1")]);
-    eventually("the word", || async {
+    eventually("an answer with the notice", || async {
         let answer = entry.ask(Method::GET, "/read/1", "r1").await;
         (answer.status == StatusCode::OK).then_some(())
     })
@@ -60,7 +59,7 @@
     let leaving = leaving.restart().await;
     leaving.announce("ready", 2).await;
     let before = leaving.seen.arrivals.lock().len();
-    let refused = eventually("a call that meets the guard", || async {
+    let refused = eventually("a call that reaches the guard", || async {
         let answer = entry.ask(Method::GET, "/read/2", "r2").await;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         text.contains("leaving").then_some(answer.status)
--- a/tests/server_limit.rs
+++ b/tests/server_limit.rs
@@ -1,10 +1,10 @@
-//! Backend servers that name how many requests a second they take.
+//! Backend servers that limit their requests per second.
 //!
-//! The load answered here: a server in need names less than its slots would
-//! let in, while the others of its service have room. Callers need the others
-//! to take the rest at once; the server needs to get no more than it named,
-//! summed over all entries, however fast it answers. The bounds are those of
-//! the platform: one and a half times the limit and five in any four seconds.
+//! An overloaded server names a lower rate than its slots allow, while the other
+//! servers of its service have capacity. The limit applies to the sum over all
+//! entries, however fast the server answers, and the other servers must take the
+//! remaining calls at once. The bounds are those of the platform: 1.5 times the limit
+//! plus five requests in any four seconds.
 
 #![allow(missing_docs)]
 
@@ -21,10 +21,10 @@
 
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long after an entry has passed the word on it is bound by it.
+/// Time until an entry must obey a limit after it relayed the notice.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// Returns the most requests of a window that a limit allows.
+/// Returns the maximum number of requests in a window under a limit.
 fn max_requests(limit: f64) -> usize {
     (1.5 * limit * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -52,8 +52,8 @@
     entry
 }
 
-// Guards against a limit that no daemon reads: 335 requests in 4 s reached a
-// server that had named 23.3 a second.
+// Guards against daemons that ignore the limit: without it, 335 requests in 4 s
+// reached a server that had named 23.3 a second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_limit_bounds_requests_from_all_entries() {
     let (address, rows, _listening) = store().await;
@@ -72,14 +72,14 @@
         .seen
         .most(start + PROPAGATION_TIME, WINDOW, &origins);
     assert!(most <= max_requests(10.0), "it got {most} in 4 s");
-    // It is in need, not gone: what it takes is used.
+    // The server is limited but available, so its capacity must be used.
     assert!(most >= 20, "it got {most} in 4 s");
     assert_eq!(ends.served, ends.all(), "{ends:?}");
     assert!(unlimited.seen.arrivals.lock().len() > ends.all() / 2);
 }
 
-// Guards against a daemon that starts again beside a server in need and lets a
-// queue go before its first answer, though the entries had been told.
+// Guards against a restarted daemon that releases its queue before the limited server
+// first answers, although the entries know the limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restarted_guard_keeps_the_limit() {
     let (address, rows, _listening) = store().await;
@@ -92,12 +92,12 @@
     load(PROPAGATION_TIME * 3).await;
     let limited = limited.restart().await;
     let announcing = async {
-        eventually("its daemon", || async {
+        eventually("the restarted daemon", || async {
             (limited.announce("ready", 2).await.status == 200).then_some(())
         })
         .await;
     };
-    // More than the other server can do, so that calls wait for this one.
+    // Exceeds the capacity of the other server, so calls wait for this one.
     let (ends, ()) = tokio::join!(load(WINDOW), announcing);
     let again = limited
         .seen
@@ -110,7 +110,7 @@
     assert_eq!(ends.failed, 0, "{ends:?}");
 }
 
-/// A document whose reads of `/read/` go before those of `/low/`.
+/// A configuration in which `/read/` has a higher priority than `/low/`.
 fn two_classes() -> String {
     let route = |path: &str, priority: u32| {
         format!(
@@ -127,8 +127,8 @@
     )
 }
 
-// Guards against refusals by chance, and against callers told to come back when
-// there is no room yet, where all servers of a service are in need.
+// Guards against refusals that ignore the class, and against retry delays that end
+// before there is capacity, when all servers of a service are limited.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn calls_over_all_limits_wait_and_are_refused_by_class() {
     let (address, rows, _listening) = store().await;
@@ -145,7 +145,7 @@
     let entries: Vec<_> = entries.iter().collect();
     let start = Instant::now();
     let time = WINDOW + PROPAGATION_TIME * 2;
-    // Together the servers take 24 a second, and one more a class at the start.
+    // Together the servers take 24 a second, plus one per class at the start.
     let (high, low) = tokio::join!(
         reads(&entries, "/read/", 18, time),
         reads(&entries, "/low/", 60, time)
@@ -153,7 +153,7 @@
     assert!(high.served * 100 >= high.all() * 97, "{high:?}");
     assert!(low.served > 0 && low.refused * 2 > low.all(), "{low:?}");
     assert_eq!((high.failed, low.failed), (0, 0));
-    assert!(low.told.len() >= low.refused, "all are told when to return");
+    assert!(low.told.len() >= low.refused, "all get a retry delay");
     for server in &servers {
         let most = server.seen.most(start + PROPAGATION_TIME, WINDOW, &origins);
         assert!(most <= max_requests(12.0), "it got {most} in 4 s");
@@ -167,11 +167,11 @@
         let all = ids.len();
         ids.sort_unstable();
         ids.dedup();
-        assert_eq!(ids.len(), all, "a call came twice");
+        assert_eq!(ids.len(), all, "a call arrived twice");
     }
 }
 
-// Guards against a limit that outlives the need.
+// Guards against a limit that stays in force after the server stopped naming it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn limit_ends_when_answers_omit_it() {
     let (address, rows, _listening) = store().await;
@@ -181,8 +181,8 @@
     limited.seen.say(&[("server-limit", "0")]);
     reads(&[&entry], "/read/a", 20, PROPAGATION_TIME).await;
     limited.seen.say(&[]);
-    // A server that takes nothing is asked now and then.
-    eventually("the end of the need", || async {
+    // A server with limit 0 still gets an occasional request.
+    eventually("the end of the limit", || async {
         entry.ask(Method::GET, "/read/b", "b").await;
         limited.daemon.guard().gate().rate().is_none().then_some(())
     })
