--- a/src/guard/announcement.rs
+++ b/src/guard/announcement.rs
@@ -6,7 +6,7 @@
 
 use super::{Guard, Lease, LeaseState};
 use crate::model::{Born, ServerId, Slots};
-use crate::policy::member::{Announcement, Presented};
+use crate::policy::member::{Announcement, AnnouncementEffect};
 
 impl Guard {
     /// Returns whether the backend server takes calls.
@@ -30,18 +30,18 @@
 
     /// Processes an announcement of the backend server, which may arrive late or out
     /// of order.
-    pub fn receive_announcement(&self, announcement: &Announcement) -> Presented {
+    pub fn receive_announcement(&self, announcement: &Announcement) -> AnnouncementEffect {
         let effect = self.presence.lock().announce(announcement);
-        if effect != Presented::Renewed {
+        if effect != AnnouncementEffect::Renewed {
             self.shared.announced.notify_one();
         }
         match effect {
-            Presented::Old => {}
-            Presented::Leaving => self.drain(),
+            AnnouncementEffect::Stale => {}
+            AnnouncementEffect::Leaving => self.drain(),
             // A renewal does not undo a drain requested by an operator.
-            Presented::Renewed if self.lease_state() == LeaseState::Leaving => {}
-            Presented::Arrived => self.start_run(announcement),
-            Presented::Stays | Presented::Renewed => {
+            AnnouncementEffect::Renewed if self.lease_state() == LeaseState::Leaving => {}
+            AnnouncementEffect::Arrived => self.start_run(announcement),
+            AnnouncementEffect::Resumed | AnnouncementEffect::Renewed => {
                 self.set_announced_slots(announcement.slots);
                 if !self.stopping.load(Ordering::Relaxed) {
                     self.renew_lease(announcement.cold);
@@ -74,7 +74,7 @@
 
     /// Records that a run of the backend server has ended or is about to.
     pub fn record_departure(&self, server: &ServerId, born: Option<Born>) {
-        if self.presence.lock().depart(server, born) {
+        if self.presence.lock().record_departure(server, born) {
             self.drain();
             self.shared.announced.notify_one();
         }
@@ -92,7 +92,7 @@
 
     pub(super) fn record_mismatch(&self, addressed: Option<&ServerId>, found: Option<&ServerId>) {
         if let Some(addressed) = addressed {
-            self.presence.lock().displaced(addressed, found);
+            self.presence.lock().record_mismatch(addressed, found);
             *self.lease.lock() = Lease::absent();
         }
     }
--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -11,7 +11,8 @@
 use crate::call::CallHead;
 use crate::model::{ClassRank, GuardNews, Slots, WorkspaceId};
 use crate::policy::admission::{
-    Admission, Decision, Event, Load, Met, Outcome, Settings, Shed, Token, Usage, Waiting, Weights,
+    Admission, CallToken, Decision, Event, GuardLoad, OnwardOutcome, Outcome, QueuedCall, Settings,
+    Shed, Usage, Weights,
 };
 
 /// Slot time and shed calls by workspace, in descending order.
@@ -19,7 +20,7 @@
 
 pub(super) struct GateState {
     pub(super) admission: Admission,
-    waiters: HashMap<Token, oneshot::Sender<Result<(), Shed>>>,
+    waiters: HashMap<CallToken, oneshot::Sender<Result<(), Shed>>>,
     next_token: u64,
     /// Whether a task is starting queued calls at the server's rate.
     pub(super) pacing: bool,
@@ -64,14 +65,14 @@
         let (decision, token, waiter) = {
             let mut state = self.state.lock();
             state.next_token += 1;
-            let token = Token(state.next_token);
-            let call = Waiting {
+            let token = CallToken(state.next_token);
+            let call = QueuedCall {
                 token,
                 priority: head.priority,
                 workspace: head.workspace,
                 deadline: head.deadline,
                 expires: head.deadline,
-                waits: head.waits,
+                may_wait: head.waits,
             };
             let (sender, receiver) = oneshot::channel();
             state.waiters.insert(token, sender);
@@ -94,7 +95,7 @@
 
     async fn wait_for_slot(
         self: &Arc<Self>,
-        token: Token,
+        token: CallToken,
         until: Instant,
         mut waiter: oneshot::Receiver<Result<(), Shed>>,
     ) -> Result<SlotPermit, Shed> {
@@ -111,7 +112,7 @@
         }
     }
 
-    fn permit(self: &Arc<Self>, token: Token) -> SlotPermit {
+    fn permit(self: &Arc<Self>, token: CallToken) -> SlotPermit {
         SlotPermit {
             gate: Arc::clone(self),
             token,
@@ -152,45 +153,48 @@
 
     /// Shares slot time among workspaces by these weights; `None` ends sharing.
     pub fn set_weights(&self, weights: Option<Weights>) {
-        self.state.lock().admission.share(Instant::now(), weights);
+        self.state
+            .lock()
+            .admission
+            .set_weights(Instant::now(), weights);
     }
 
     fn count_shed(&self, workspace: Option<WorkspaceId>) {
-        if let Some(fair) = self.state.lock().admission.fair() {
-            fair.spent().shed(workspace);
+        if let Some(fair) = self.state.lock().admission.fair_queue() {
+            fair.usage().count_shed(workspace);
         }
     }
 
     /// Returns the usage of each workspace, if slot time is shared.
     pub fn usages(&self) -> Usages {
         let mut state = self.state.lock();
-        let fair = state.admission.fair();
-        fair.map_or_else(Vec::new, |fair| fair.spent().greatest())
+        let fair = state.admission.fair_queue();
+        fair.map_or_else(Vec::new, |fair| fair.usage().top())
     }
 
     /// Returns the usage of each workspace since the last call of this method.
     pub fn take_recent_usages(&self) -> Usages {
         let mut state = self.state.lock();
-        let fair = state.admission.fair();
-        fair.map_or_else(Vec::new, |fair| fair.spent().take_lately())
+        let fair = state.admission.fair_queue();
+        fair.map_or_else(Vec::new, |fair| fair.usage().take_recent())
     }
 
     /// Returns the status that is sent with answers.
     pub fn status(&self) -> GuardNews {
-        self.state.lock().admission.news(Instant::now())
+        self.state.lock().admission.status(Instant::now())
     }
 
     /// Returns after which delay a caller refused for `shed` may retry.
     pub fn retry_after(&self, shed: Shed) -> Duration {
         let admission = &self.state.lock().admission;
         match shed {
-            Shed::Limited => admission.return_after(Instant::now(), &mut rand::rng()),
+            Shed::Limited => admission.rate_retry_after(Instant::now(), &mut rand::rng()),
             _ => admission.retry_after(&mut rand::rng()),
         }
     }
 
     /// Returns the load and the call counts since the last report.
-    pub fn report(&self) -> Load {
+    pub fn report(&self) -> GuardLoad {
         self.state.lock().admission.report(Instant::now())
     }
 
@@ -223,7 +227,7 @@
 /// Permit to run one call; dropping it frees the slot.
 pub struct SlotPermit {
     gate: Arc<Gate>,
-    token: Token,
+    token: CallToken,
     outcome: Outcome,
 }
 
@@ -235,15 +239,15 @@
 
     /// Records whether the backend server itself failed the call.
     pub fn record_fault(&self, faulty: bool) {
-        self.gate.state.lock().admission.judge(faulty);
+        self.gate.state.lock().admission.record_fault(faulty);
     }
 
     /// Records the outcomes of the call's onward calls.
-    pub fn record_downstream(&self, met: &[Met], answered: bool) {
+    pub fn record_downstream(&self, met: &[OnwardOutcome], answered: bool) {
         let mut state = self.gate.state.lock();
         state
             .admission
-            .met_below(Instant::now(), self.token, met, answered);
+            .record_onward(Instant::now(), self.token, met, answered);
     }
 }
 
--- a/src/guard/once_calls.rs
+++ b/src/guard/once_calls.rs
@@ -9,12 +9,14 @@
 
 use crate::call::{CallHead, Refusal};
 use crate::model::{MintTime, OnceKey, Retries};
-use crate::policy::once::{Begin, Kept, Ledger, LedgerLimits, Refuse, State};
+use crate::policy::once::{
+    KeyState, Ledger, LedgerLimits, OnceDecision, OnceRefusal, StoredAnswer,
+};
 
 /// Outcome of a run of an at-most-once call.
 #[derive(Clone, Debug)]
 pub(super) struct RunOutcome {
-    pub(super) result: Result<Kept, Refusal>,
+    pub(super) result: Result<StoredAnswer, Refusal>,
     /// Retries to return to the attempt that started the run.
     pub(super) account: Retries,
 }
@@ -29,9 +31,9 @@
     /// Wait for the run in progress.
     Attach(OutcomeReceiver),
     /// Return this stored answer.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// Refuse it for this reason.
-    Refuse(Refuse),
+    Refuse(OnceRefusal),
 }
 
 /// Receives the outcome of a run.
@@ -66,19 +68,19 @@
     pub(super) fn begin(&self, now: MintTime, key: &OnceKey, hash: u64) -> OnceAction {
         let mut state = self.state.lock();
         let begin = state.ledger.begin(now, key, hash);
-        let resumed = begin == Begin::Resume;
+        let resumed = begin == OnceDecision::Resume;
         match begin {
-            Begin::Start | Begin::Resume => {
+            OnceDecision::Start | OnceDecision::Resume => {
                 let (sender, outcome) = watch::channel(None);
                 state.running.insert(key.clone(), sender);
                 OnceAction::Run { resumed, outcome }
             }
-            Begin::Attach => match state.running.get(key) {
+            OnceDecision::Attach => match state.running.get(key) {
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
-                None => OnceAction::Refuse(Refuse::OutcomeLost),
+                None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            Begin::Answer(kept) => OnceAction::Answer(kept),
-            Begin::Refuse(refuse) => OnceAction::Refuse(refuse),
+            OnceDecision::Answer(kept) => OnceAction::Answer(kept),
+            OnceDecision::Refuse(refuse) => OnceAction::Refuse(refuse),
         }
     }
 
@@ -86,14 +88,14 @@
     pub(super) fn inquire(&self, key: &OnceKey) -> OnceAction {
         let state = self.state.lock();
         match state.ledger.get(key).map(|entry| &entry.state) {
-            Some(State::Running) => match state.running.get(key) {
+            Some(KeyState::Running) => match state.running.get(key) {
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
-                None => OnceAction::Refuse(Refuse::OutcomeLost),
+                None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            Some(State::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
-            Some(State::Done(_)) => OnceAction::Refuse(Refuse::AnswerNotKept),
-            Some(State::Unknown) => OnceAction::Refuse(Refuse::OutcomeLost),
-            Some(State::Claimed) | None => OnceAction::Refuse(Refuse::Unseen),
+            Some(KeyState::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
+            Some(KeyState::Done(_)) => OnceAction::Refuse(OnceRefusal::AnswerNotKept),
+            Some(KeyState::Unknown) => OnceAction::Refuse(OnceRefusal::OutcomeLost),
+            Some(KeyState::Claimed) | None => OnceAction::Refuse(OnceRefusal::Unseen),
         }
     }
 
@@ -102,9 +104,9 @@
         let mut state = self.state.lock();
         match (update, &outcome.result) {
             (LedgerUpdate::Finish, Ok(kept)) => state.ledger.finish(key, kept.clone()),
-            (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.lose(key),
+            (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.mark_lost(key),
             (LedgerUpdate::Release, _) => state.ledger.release(key),
-            (LedgerUpdate::Retract, _) => state.ledger.retract(key),
+            (LedgerUpdate::Retract, _) => state.ledger.remove(key),
         }
         if let Some(sender) = state.running.remove(key) {
             sender.send_replace(Some(outcome));
@@ -118,7 +120,7 @@
 
     /// Returns the entries, and the mint time up to which keys are forgotten, for a
     /// hand-over.
-    pub fn export(&self) -> (Vec<(OnceKey, State, u64)>, MintTime) {
+    pub fn export(&self) -> (Vec<(OnceKey, KeyState, u64)>, MintTime) {
         let state = self.state.lock();
         let entries = state
             .ledger
@@ -133,7 +135,7 @@
     pub fn adopt(
         &self,
         now: MintTime,
-        entries: Vec<(OnceKey, State, u64)>,
+        entries: Vec<(OnceKey, KeyState, u64)>,
         forgotten: MintTime,
     ) -> bool {
         let mut state = self.state.lock();
--- a/src/guard/pacing.rs
+++ b/src/guard/pacing.rs
@@ -12,7 +12,7 @@
     /// whether it changed.
     pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: NamedRate) -> bool {
         let now = Instant::now();
-        let changed = self.state.lock().admission.hear_rate(now, sent_at, rate);
+        let changed = self.state.lock().admission.record_rate(now, sent_at, rate);
         if changed {
             self.update(|admission| admission.expire(now));
             self.pace(now);
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -13,7 +13,7 @@
 use crate::call::{Attempt, CallHead, OnceCall, Planned, Reason, Refusal, Reply, ReplyHead};
 use crate::model::{Instance, OnceKey, Retries};
 use crate::policy::once::{
-    Claim, ClaimCheck, Kept, Nonce, Refuse, authority, claim_key, judge_claim,
+    Claim, ClaimCheck, Nonce, OnceRefusal, StoredAnswer, check_claim, check_owner, claim_row_key,
 };
 use crate::store::{Condition, Settled, settle};
 use crate::tables::{Held, mint_now};
@@ -99,7 +99,7 @@
         }
     }
 
-    fn stored_reply(&self, kept: Kept, account: Retries, repeated: bool) -> Reply {
+    fn stored_reply(&self, kept: StoredAnswer, account: Retries, repeated: bool) -> Reply {
         let mut headers = HeaderMap::new();
         for (name, value) in &kept.headers {
             if let (Ok(name), Ok(value)) = (
@@ -125,10 +125,10 @@
         }
     }
 
-    fn authority(&self, key: &OnceKey) -> Result<(), Refuse> {
+    fn authority(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
         let home = self.shared.homes.get(self.service());
         let row = home.as_ref().map(|home| &*home.row);
-        authority(key, self.shared.instance, row)
+        check_owner(key, self.shared.instance, row)
     }
 
     async fn run_once(self: Arc<Self>, head: CallHead, once: OnceCall, body: Bytes, resumed: bool) {
@@ -204,7 +204,7 @@
             nonce: Nonce(rand::random()),
         };
         let content = serde_json::to_vec(&claim).unwrap_or_default().into();
-        let name = claim_key(self.service(), key);
+        let name = claim_row_key(self.service(), key);
         let table = self.shared.platform.as_ref();
         let fail = |reason, update, owner| {
             Err(ClaimError {
@@ -217,18 +217,20 @@
             Settled::Written(_) => return Ok(()),
             Settled::Lost(row) => row,
             Settled::NotSent(_) | Settled::Unsettled(_) => {
-                return fail(Refuse::NoPlatform, LedgerUpdate::Release, None);
+                return fail(OnceRefusal::NoPlatform, LedgerUpdate::Release, None);
             }
         };
         let found = row.and_then(|row| serde_json::from_slice(&row.content).ok());
-        match found.map(|found| judge_claim(found, own, claim.nonce)) {
+        match found.map(|found| check_claim(found, own, claim.nonce)) {
             Some(ClaimCheck::Won) => Ok(()),
             Some(ClaimCheck::OwnEarlier) if resumed => Ok(()),
-            Some(ClaimCheck::OwnEarlier) => fail(Refuse::Forgotten, LedgerUpdate::Retract, None),
+            Some(ClaimCheck::OwnEarlier) => {
+                fail(OnceRefusal::Forgotten, LedgerUpdate::Retract, None)
+            }
             Some(ClaimCheck::Other(owner)) => {
-                fail(Refuse::WrongOwner, LedgerUpdate::Retract, Some(owner))
+                fail(OnceRefusal::WrongOwner, LedgerUpdate::Retract, Some(owner))
             }
-            None => fail(Refuse::OutcomeLost, LedgerUpdate::Retract, None),
+            None => fail(OnceRefusal::OutcomeLost, LedgerUpdate::Retract, None),
         }
     }
 
@@ -257,13 +259,13 @@
 
 /// Failure to claim a key for this instance.
 struct ClaimError {
-    reason: Refuse,
+    reason: OnceRefusal,
     update: LedgerUpdate,
     owner: Option<Instance>,
 }
 
 impl ServerAnswer {
-    fn into_stored(self) -> Kept {
+    fn into_stored(self) -> StoredAnswer {
         let headers = self
             .headers
             .iter()
@@ -276,7 +278,7 @@
             AnswerBody::Whole(bytes) => Some(bytes),
             AnswerBody::Large(..) => None,
         };
-        Kept {
+        StoredAnswer {
             status: self.status.as_u16(),
             headers,
             body,
--- a/src/guard/run_permit.rs
+++ b/src/guard/run_permit.rs
@@ -11,7 +11,7 @@
 use super::Guard;
 use crate::call::{Attempt, CallHead, Planned, Reason, Refusal};
 use crate::policy::admission::Shed;
-use crate::policy::crash::Standing;
+use crate::policy::crash::RunRestriction;
 
 /// Suspects of a single crash that run here at the same time.
 ///
@@ -77,16 +77,16 @@
         head: &CallHead,
     ) -> Result<RunPermit, RunRefusal> {
         let give_up_at = head.deadline.min(Instant::now() + MAX_SUSPECT_WAIT);
-        let mut granted = Standing::Clear;
+        let mut granted = RunRestriction::Unrestricted;
         let mut permit = None;
         loop {
             let restriction = self.restriction(head);
             let semaphore = match restriction {
-                Standing::Held(left) => return Err(RunRefusal::Quarantined(left)),
+                RunRestriction::Quarantined(left) => return Err(RunRefusal::Quarantined(left)),
                 _ if restriction == granted => return Ok(RunPermit { _permit: permit }),
-                Standing::Clear => return Ok(RunPermit { _permit: None }),
-                Standing::Few => &self.suspect_limits.limited,
-                Standing::Alone => &self.suspect_limits.exclusive,
+                RunRestriction::Unrestricted => return Ok(RunPermit { _permit: None }),
+                RunRestriction::FewAtOnce => &self.suspect_limits.limited,
+                RunRestriction::OneAtOnce => &self.suspect_limits.exclusive,
             };
             // Released before waiting, since other suspects wait for it.
             drop(permit.take());
@@ -104,13 +104,15 @@
     /// waited for a slot.
     pub(super) fn check_not_quarantined(&self, head: &CallHead) -> Result<(), RunRefusal> {
         match self.restriction(head) {
-            Standing::Held(left) => Err(RunRefusal::Quarantined(left)),
-            Standing::Clear | Standing::Few | Standing::Alone => Ok(()),
+            RunRestriction::Quarantined(left) => Err(RunRefusal::Quarantined(left)),
+            RunRestriction::Unrestricted
+            | RunRestriction::FewAtOnce
+            | RunRestriction::OneAtOnce => Ok(()),
         }
     }
 
-    fn restriction(&self, head: &CallHead) -> Standing {
+    fn restriction(&self, head: &CallHead) -> RunRestriction {
         let of = |request| self.shared.suspects.standing(request);
-        head.fingerprint.map_or(Standing::Clear, of)
+        head.fingerprint.map_or(RunRestriction::Unrestricted, of)
     }
 }
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -14,7 +14,7 @@
 use super::{Gate, Lease, LeaseState, OnceCalls, SlotPermit};
 use crate::call::{Attempt, Call, CallHead, OnceCall, Planned, Reason, Refusal, Reply};
 use crate::model::{ClassRank, Depth, Retries, ServiceName, Slots};
-use crate::policy::admission::{Settings, Shed, usable};
+use crate::policy::admission::{Settings, Shed, usable_slots};
 use crate::policy::member::Presence;
 use crate::policy::once::LedgerLimits;
 use crate::tables::{Detail, Held, Shared, Step};
@@ -48,7 +48,7 @@
         };
         let limits = LedgerLimits {
             bytes: 8 * 1024 * 1024,
-            memory: Duration::from_secs(24 * 3600),
+            retention: Duration::from_secs(24 * 3600),
         };
         let backend = Backend::new(shared.config.backend);
         Arc::new(Self {
@@ -100,7 +100,7 @@
         self.gate.set_weights(sharing.map(weights));
         self.once.set_limits(LedgerLimits {
             bytes: estate.once.ledger_bytes.get() as usize,
-            memory: estate.once.memory.get(),
+            retention: estate.once.memory.get(),
         });
     }
 
@@ -110,7 +110,7 @@
     }
 
     pub(super) fn slots(&self) -> Slots {
-        usable(self.announced_slots().unwrap_or_else(|| self.declared()))
+        usable_slots(self.announced_slots().unwrap_or_else(|| self.declared()))
     }
 
     /// Returns the slots that the current configuration declares.
