--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -243,11 +243,11 @@
     }
 
     /// Records the outcomes of the call's onward calls.
-    pub fn record_downstream(&self, met: &[OnwardOutcome], answered: bool) {
+    pub fn record_onward(&self, outcomes: &[OnwardOutcome], answered: bool) {
         let mut state = self.gate.state.lock();
         state
             .admission
-            .record_onward(Instant::now(), self.token, met, answered);
+            .record_onward(Instant::now(), self.token, outcomes, answered);
     }
 }
 
--- a/src/guard/once_calls.rs
+++ b/src/guard/once_calls.rs
@@ -67,9 +67,9 @@
 
     pub(super) fn begin(&self, now: MintTime, key: &OnceKey, hash: u64) -> OnceAction {
         let mut state = self.state.lock();
-        let begin = state.ledger.begin(now, key, hash);
-        let resumed = begin == OnceDecision::Resume;
-        match begin {
+        let decision = state.ledger.begin(now, key, hash);
+        let resumed = decision == OnceDecision::Resume;
+        match decision {
             OnceDecision::Start | OnceDecision::Resume => {
                 let (sender, outcome) = watch::channel(None);
                 state.running.insert(key.clone(), sender);
@@ -79,8 +79,8 @@
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
                 None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            OnceDecision::Answer(kept) => OnceAction::Answer(kept),
-            OnceDecision::Refuse(refuse) => OnceAction::Refuse(refuse),
+            OnceDecision::Answer(stored) => OnceAction::Answer(stored),
+            OnceDecision::Refuse(reason) => OnceAction::Refuse(reason),
         }
     }
 
@@ -92,7 +92,9 @@
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
                 None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            Some(KeyState::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
+            Some(KeyState::Done(stored)) if stored.body.is_some() => {
+                OnceAction::Answer(stored.clone())
+            }
             Some(KeyState::Done(_)) => OnceAction::Refuse(OnceRefusal::AnswerNotKept),
             Some(KeyState::Unknown) => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             Some(KeyState::Claimed) | None => OnceAction::Refuse(OnceRefusal::Unseen),
@@ -103,7 +105,7 @@
     pub(super) fn finish_run(&self, key: &OnceKey, update: LedgerUpdate, outcome: RunOutcome) {
         let mut state = self.state.lock();
         match (update, &outcome.result) {
-            (LedgerUpdate::Finish, Ok(kept)) => state.ledger.finish(key, kept.clone()),
+            (LedgerUpdate::Finish, Ok(stored)) => state.ledger.finish(key, stored.clone()),
             (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.mark_lost(key),
             (LedgerUpdate::Release, _) => state.ledger.release(key),
             (LedgerUpdate::Retract, _) => state.ledger.remove(key),
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -62,21 +62,21 @@
     ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        let met = held.take_met();
+        let outcomes = held.take_met();
         let answered = !status.is_server_error();
-        let refused = met.iter().any(|met| met.refused);
+        let refused = outcomes.iter().any(|outcome| outcome.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
-            let excused = met.iter().any(|met| met.failed);
+            let excused = outcomes.iter().any(|outcome| outcome.failed);
             slot.record_fault(!answered && !excused);
         }
-        slot.record_downstream(&met, answered);
+        slot.record_onward(&outcomes, answered);
         let outcome = match (refused, answered) {
             (true, false) => Outcome::Failed,
             _ if refused_here => Outcome::Refused,
             _ => Outcome::Answered,
         };
         slot.set_outcome(outcome);
-        !met.is_empty()
+        !outcomes.is_empty()
     }
 
     /// Creates the reply; a task forwards a large body and holds the slot until the
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -34,14 +34,14 @@
     ) -> Result<Reply, Refusal> {
         let account = head.account;
         let deadline = head.deadline;
-        if let Err(refuse) = self.authority(&once.key) {
-            return Err(self.return_retries(attempt.refuse_once(refuse), account));
+        if let Err(reason) = self.check_owner(&once.key) {
+            return Err(self.return_retries(attempt.refuse_once(reason), account));
         }
         let hash = body_hash(&head, &body);
         let (mut outcome, started) = match self.once.begin(mint_now(), &once.key, hash) {
-            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, account, true)),
-            OnceAction::Refuse(refuse) => {
-                return Err(self.return_retries(attempt.refuse_once(refuse), account));
+            OnceAction::Answer(stored) => return Ok(self.stored_reply(stored, account, true)),
+            OnceAction::Refuse(reason) => {
+                return Err(self.return_retries(attempt.refuse_once(reason), account));
             }
             OnceAction::Attach(outcome) => (outcome, false),
             OnceAction::Run { resumed, outcome } => {
@@ -63,7 +63,7 @@
         };
         let account = if started { done.account } else { account };
         match done.result {
-            Ok(kept) => Ok(self.stored_reply(kept, account, !started)),
+            Ok(stored) => Ok(self.stored_reply(stored, account, !started)),
             Err(refusal) => Err(self.return_retries(refusal, account)),
         }
     }
@@ -81,8 +81,8 @@
     ) -> Result<Reply, Refusal> {
         let none = Retries::new(0);
         let mut outcome = match self.once.inquire(key) {
-            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, none, true)),
-            OnceAction::Refuse(refuse) => return Err(attempt.refuse_once(refuse)),
+            OnceAction::Answer(stored) => return Ok(self.stored_reply(stored, none, true)),
+            OnceAction::Refuse(reason) => return Err(attempt.refuse_once(reason)),
             OnceAction::Attach(outcome) | OnceAction::Run { outcome, .. } => outcome,
         };
         let attempt = attempt.send();
@@ -92,16 +92,16 @@
                 Some(done) => done
                     .result
                     .clone()
-                    .map(|kept| self.stored_reply(kept, none, true)),
+                    .map(|stored| self.stored_reply(stored, none, true)),
                 None => Err(attempt.lose(Reason::Timeout, "")),
             },
             _ => Err(attempt.lose(Reason::Timeout, "the call is still running")),
         }
     }
 
-    fn stored_reply(&self, kept: StoredAnswer, account: Retries, repeated: bool) -> Reply {
+    fn stored_reply(&self, stored: StoredAnswer, account: Retries, repeated: bool) -> Reply {
         let mut headers = HeaderMap::new();
-        for (name, value) in &kept.headers {
+        for (name, value) in &stored.headers {
             if let (Ok(name), Ok(value)) = (
                 http::HeaderName::from_bytes(name.as_bytes()),
                 http::HeaderValue::from_bytes(value),
@@ -109,7 +109,7 @@
                 headers.append(name, value);
             }
         }
-        let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
         Reply {
             head: ReplyHead {
                 status,
@@ -121,13 +121,13 @@
                 news: self.status(),
                 kept: repeated,
             },
-            body: Payload::Whole(kept.body.unwrap_or_default()),
+            body: Payload::Whole(stored.body.unwrap_or_default()),
         }
     }
 
-    fn authority(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
-        let home = self.shared.homes.get(self.service());
-        let row = home.as_ref().map(|home| &*home.row);
+    fn check_owner(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
+        let ownership = self.shared.homes.get(self.service());
+        let row = ownership.as_ref().map(|ownership| &*ownership.row);
         check_owner(key, self.shared.instance, row)
     }
 
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -176,11 +176,11 @@
         if head.depth > Depth::MAX {
             return Err(Reason::TooDeep);
         }
-        let begun = |once: &OnceCall| self.once.has_begun(&once.key);
+        let started = |once: &OnceCall| self.once.has_begun(&once.key);
         match self.lease_state() {
             LeaseState::Serving => Ok(()),
             // Repeats of a key that was already started are still answered.
-            LeaseState::Leaving if head.once.as_ref().is_some_and(begun) => Ok(()),
+            LeaseState::Leaving if head.once.as_ref().is_some_and(started) => Ok(()),
             LeaseState::Leaving => Err(Reason::Shed(Shed::Leaving)),
             LeaseState::Absent => Err(Reason::Unreachable),
         }
