--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,9 +1,8 @@
-//! Choice of a backend server while a data centre is out of reach.
+//! Choice of a backend server while a data centre is unreachable.
 //!
-//! Load pattern: a data centre is cut off without a word, so that calls into
-//! it are never answered, while the servers that are left have more to do than
-//! they can. Figures: three targets of a service, one in the own data centre,
-//! as on the users' smaller site.
+//! One data centre silently drops all traffic, so calls into it are never
+//! answered, while the remaining servers are overloaded. The service has three
+//! targets, one of them in the own data centre, as on a small site.
 
 #![allow(missing_docs)]
 
@@ -106,8 +105,8 @@
     assert!(!table.has_recent_status(now + Duration::from_secs(1), instance(2)));
 }
 
-/// One of three servers fails every call at once while its health check is
-/// good, and so always has the least load. Its data centre is the entry's own.
+/// One of three servers, the only one in the own data centre, fails every call at
+/// once while its health check passes, so it always has the least load.
 #[test]
 fn choose_avoids_a_server_that_fails_all() {
     let mut table = table();
@@ -121,36 +120,36 @@
             panic!("no target");
         };
         let bad = target == instance(1);
-        let news = GuardNews {
+        let status = GuardNews {
             faults: Percent::new(if bad { 100 } else { 0 }),
             load: if bad { 0 } else { 26 },
             ..GuardNews::default()
         };
-        table.report(now, target, AttemptReport::Responded(news));
+        table.report(now, target, AttemptReport::Responded(status));
         to_bad += u32::from(bad);
     }
     assert!((2..20).contains(&to_bad), "{to_bad} of 1000 calls");
 }
 
-/// All servers fail alike, so none is left out.
+/// All servers fail equally, so none is avoided.
 #[test]
 fn choose_keeps_servers_that_fail_equally() {
     let mut table = table();
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
     for n in 1..=3 {
-        let news = GuardNews {
+        let status = GuardNews {
             faults: Percent::new(55),
             ..GuardNews::default()
         };
-        table.report(now, instance(n), AttemptReport::Responded(news));
+        table.report(now, instance(n), AttemptReport::Responded(status));
     }
     let chosen = table.choose(now, needs(Level::OPEN), &mut rng);
     assert_eq!(chosen, Pick::Target(instance(1)));
 }
 
-/// One of three servers refuses nearly half of its calls by itself, as the
-/// users' servers do while their health check is good.
+/// One of three servers refuses nearly half of its calls by itself while its
+/// health check passes.
 #[test]
 fn choose_keeps_most_calls_from_a_refusing_server() {
     let mut table = table();
@@ -162,11 +161,11 @@
             panic!("no target");
         };
         let bad = target == instance(2);
-        let news = GuardNews::default();
+        let status = GuardNews::default();
         let report = if bad && turn % 2 == 0 {
-            AttemptReport::Rejected(news)
+            AttemptReport::Rejected(status)
         } else {
-            AttemptReport::Responded(news)
+            AttemptReport::Responded(status)
         };
         table.report(now, target, report);
         to_bad += u32::from(bad && turn >= 300);
@@ -183,7 +182,7 @@
     let mut split = Split::new(weights, offset);
     let mut counts = vec![0_u32; weights.len()];
     for _ in 0..200 {
-        counts[split.next(weights).expect("a place")] += 1;
+        counts[split.next(weights).expect("an index")] += 1;
     }
     let sum: u32 = weights.iter().sum();
     for (count, weight) in counts.iter().zip(weights) {
