--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -22,7 +22,7 @@
         }
         match notice.rate {
             NamedRate::None if !is_complete => return,
-            NamedRate::Unreadable => self.log_notice("its rate is not a number", None),
+            NamedRate::Unreadable => self.log_notice("its rate is no number", None),
             NamedRate::None | NamedRate::Some(_) => {}
         }
         let before = self.gate.rate();
@@ -94,7 +94,7 @@
         let text = |rate: Option<Rate>| rate.map_or("any".to_owned(), |rate| rate.to_string());
         let server = self.server();
         let load = self.gate.load();
-        spdlog::info!("backend server says of itself", kv: {
+        spdlog::info!("backend server sent a notice", kv: {
             server = server.as_ref().map_or("", |server| server.as_str()),
             what,
             takes = text(self.gate.rate()).as_str(),
