--- a/src/guard/once_calls.rs
+++ b/src/guard/once_calls.rs
@@ -1,4 +1,4 @@
-//! Once calls at one guard: the ledger, and repeats that wait for a run.
+//! At-most-once calls of one guard: the ledger, and repeats that wait for a run.
 
 use std::collections::HashMap;
 
@@ -13,30 +13,30 @@
     KeyState, Ledger, LedgerLimits, OnceDecision, OnceRefusal, StoredAnswer,
 };
 
-/// How a run of a once call ended.
+/// Outcome of a run of an at-most-once call.
 #[derive(Clone, Debug)]
 pub(super) struct RunOutcome {
     pub(super) result: Result<StoredAnswer, Refusal>,
-    /// Retries that go home to the attempt that started the run.
+    /// Retries to return to the attempt that started the run.
     pub(super) account: Retries,
 }
 
-/// What to do with an arriving once call.
+/// What to do with an arriving at-most-once call.
 pub(super) enum OnceAction {
-    /// Run it and report the end; `resumed` if the key came before.
+    /// Run it and report the outcome; `resumed` if the key arrived before.
     Run {
         resumed: bool,
         outcome: OutcomeReceiver,
     },
-    /// Wait for the run that is under way.
+    /// Wait for the run in progress.
     Attach(OutcomeReceiver),
-    /// Give this answer.
+    /// Return this stored answer.
     Answer(StoredAnswer),
-    /// Refuse it.
+    /// Refuse it for this reason.
     Refuse(OnceRefusal),
 }
 
-/// Receives the end of a run.
+/// Receives the outcome of a run.
 pub(super) type OutcomeReceiver = watch::Receiver<Option<RunOutcome>>;
 
 struct OnceState {
@@ -44,13 +44,13 @@
     running: HashMap<OnceKey, watch::Sender<Option<RunOutcome>>>,
 }
 
-/// The ledger with the runs under way.
+/// The ledger and the runs in progress.
 pub struct OnceCalls {
     state: Mutex<OnceState>,
 }
 
 impl OnceCalls {
-    /// Makes an empty ledger with bounds.
+    /// Creates an empty ledger with these limits.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             state: Mutex::new(OnceState {
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Takes changed bounds.
+    /// Applies changed limits.
     pub fn set_limits(&self, limits: LedgerLimits) {
         self.state.lock().ledger.set_limits(limits);
     }
 
     pub(super) fn begin(&self, now: MintTime, key: &OnceKey, hash: u64) -> OnceAction {
         let mut state = self.state.lock();
-        let begin = state.ledger.begin(now, key, hash);
-        let resumed = begin == OnceDecision::Resume;
-        match begin {
+        let decision = state.ledger.begin(now, key, hash);
+        let resumed = decision == OnceDecision::Resume;
+        match decision {
             OnceDecision::Start | OnceDecision::Resume => {
                 let (sender, outcome) = watch::channel(None);
                 state.running.insert(key.clone(), sender);
@@ -79,12 +79,12 @@
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
                 None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            OnceDecision::Answer(kept) => OnceAction::Answer(kept),
-            OnceDecision::Refuse(refuse) => OnceAction::Refuse(refuse),
+            OnceDecision::Answer(stored) => OnceAction::Answer(stored),
+            OnceDecision::Refuse(reason) => OnceAction::Refuse(reason),
         }
     }
 
-    /// Looks for the outcome of a key without starting anything.
+    /// Looks up the outcome of a key without starting it.
     pub(super) fn inquire(&self, key: &OnceKey) -> OnceAction {
         let state = self.state.lock();
         match state.ledger.get(key).map(|entry| &entry.state) {
@@ -92,18 +92,20 @@
                 Some(sender) => OnceAction::Attach(sender.subscribe()),
                 None => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             },
-            Some(KeyState::Done(kept)) if kept.body.is_some() => OnceAction::Answer(kept.clone()),
+            Some(KeyState::Done(stored)) if stored.body.is_some() => {
+                OnceAction::Answer(stored.clone())
+            }
             Some(KeyState::Done(_)) => OnceAction::Refuse(OnceRefusal::AnswerNotKept),
             Some(KeyState::Unknown) => OnceAction::Refuse(OnceRefusal::OutcomeLost),
             Some(KeyState::Claimed) | None => OnceAction::Refuse(OnceRefusal::Unseen),
         }
     }
 
-    /// Ends a run.
+    /// Ends a run and passes its outcome to all who wait for it.
     pub(super) fn finish_run(&self, key: &OnceKey, update: LedgerUpdate, outcome: RunOutcome) {
         let mut state = self.state.lock();
         match (update, &outcome.result) {
-            (LedgerUpdate::Finish, Ok(kept)) => state.ledger.finish(key, kept.clone()),
+            (LedgerUpdate::Finish, Ok(stored)) => state.ledger.finish(key, stored.clone()),
             (LedgerUpdate::Finish | LedgerUpdate::Lose, _) => state.ledger.mark_lost(key),
             (LedgerUpdate::Release, _) => state.ledger.release(key),
             (LedgerUpdate::Retract, _) => state.ledger.remove(key),
@@ -113,12 +115,13 @@
         }
     }
 
-    /// Starts no key from now on, for good.
+    /// Permanently stops starting keys.
     pub fn stop(&self) {
         self.state.lock().ledger.stop();
     }
 
-    /// Returns the entries and the bound of forgotten keys, for a hand-over.
+    /// Returns the entries, and the mint time up to which keys are forgotten, for a
+    /// hand-over.
     pub fn export(&self) -> (Vec<(OnceKey, KeyState, u64)>, MintTime) {
         let state = self.state.lock();
         let entries = state
@@ -129,8 +132,8 @@
         (entries, state.ledger.forgotten())
     }
 
-    /// Takes over the ledger of an instance that stops; `false` if this one
-    /// stops itself.
+    /// Adopts the ledger of an instance that is stopping; returns `false` and adopts
+    /// nothing if this instance is stopping as well.
     pub fn adopt(
         &self,
         now: MintTime,
@@ -148,37 +151,37 @@
         true
     }
 
-    /// Tells whether a call with `key` can be answered without starting it.
+    /// Returns whether a call with `key` can be answered without starting it.
     pub fn has_begun(&self, key: &OnceKey) -> bool {
         self.state.lock().ledger.has_begun(key)
     }
 
-    /// Returns the number of runs under way, those not yet started included.
+    /// Returns the number of runs in progress, including those not yet started.
     pub fn in_flight(&self) -> usize {
         self.state.lock().running.len()
     }
 
-    /// Returns the number of keys and the bytes that are accounted for.
+    /// Returns the number of keys and their accounted size in bytes.
     pub fn size(&self) -> (usize, usize) {
         let state = self.state.lock();
         (state.ledger.len(), state.ledger.bytes())
     }
 }
 
-/// What the end of a run means for the ledger.
+/// Change of the ledger at the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LedgerUpdate {
-    /// It ran and was answered.
+    /// The call ran and was answered.
     Finish,
-    /// It may have run.
+    /// The call may have run; its outcome is unknown.
     Lose,
-    /// It did not run and may be started later.
+    /// The call did not run and may be started later.
     Release,
-    /// Another instance owns it.
+    /// The key must not be started here; its entry is removed.
     Retract,
 }
 
-/// Hashes what must be the same in a repeat: method, target and body.
+/// Hashes method, target and body, which must be the same in a repeat.
 pub fn body_hash(head: &CallHead, body: &Bytes) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(head.method.as_str().as_bytes());
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -1,4 +1,4 @@
-//! What a call's end at the backend server means for its entry.
+//! Replies and refusals to the entry for calls that were sent to the backend server.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -53,8 +53,7 @@
         self.close_call(refusal, held)
     }
 
-    /// Takes note of how a call ended; returns whether calls were made onwards
-    /// for it.
+    /// Records how a call ended; returns whether it made onward calls.
     pub(super) fn record_end(
         &self,
         slot: &mut SlotPermit,
@@ -63,25 +62,25 @@
     ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        let met = held.take_onward_outcomes();
+        let outcomes = held.take_onward_outcomes();
         let answered = !status.is_server_error();
-        let refused = met.iter().any(|met| met.refused);
+        let refused = outcomes.iter().any(|outcome| outcome.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
-            let excused = met.iter().any(|met| met.failed);
+            let excused = outcomes.iter().any(|outcome| outcome.failed);
             slot.record_fault(!answered && !excused);
         }
-        slot.record_downstream(&met, answered);
+        slot.record_onward(&outcomes, answered);
         let outcome = match (refused, answered) {
             (true, false) => Outcome::Failed,
             _ if refused_here => Outcome::Refused,
             _ => Outcome::Answered,
         };
         slot.set_outcome(outcome);
-        !met.is_empty()
+        !outcomes.is_empty()
     }
 
-    /// Makes the reply; a large body is passed on by a task that keeps the
-    /// slot until its end.
+    /// Creates the reply; a task forwards a large body and holds the slot until the
+    /// body ends.
     pub(super) fn reply(
         &self,
         answer: ServerAnswer,
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -1,4 +1,4 @@
-//! The way of a call that must run at most once, by its key.
+//! Handling of calls that must run at most once per idempotency key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use crate::tables::{ParentCall, mint_now};
 use crate::web::Payload;
 
-/// How long the outcome of a once call is waited for after its deadline.
+/// How long a run may exceed the call's deadline before its outcome counts as lost.
 const OUTCOME_GRACE: Duration = Duration::from_secs(30);
-/// Largest answer to a once call, in bytes.
+/// Maximum size of an answer to an at-most-once call.
 const MAX_ONCE_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 impl Guard {
@@ -34,14 +34,14 @@
     ) -> Result<Reply, Refusal> {
         let account = head.account;
         let deadline = head.deadline;
-        if let Err(refuse) = self.authority(&once.key) {
-            return Err(self.return_retries(attempt.refuse_once(refuse), account));
+        if let Err(reason) = self.check_owner(&once.key) {
+            return Err(self.return_retries(attempt.refuse_once(reason), account));
         }
         let hash = body_hash(&head, &body);
         let (mut outcome, started) = match self.once.begin(mint_now(), &once.key, hash) {
-            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, account, true)),
-            OnceAction::Refuse(refuse) => {
-                return Err(self.return_retries(attempt.refuse_once(refuse), account));
+            OnceAction::Answer(stored) => return Ok(self.stored_reply(stored, account, true)),
+            OnceAction::Refuse(reason) => {
+                return Err(self.return_retries(attempt.refuse_once(reason), account));
             }
             OnceAction::Attach(outcome) => (outcome, false),
             OnceAction::Run { resumed, outcome } => {
@@ -63,16 +63,16 @@
         };
         let account = if started { done.account } else { account };
         match done.result {
-            Ok(kept) => Ok(self.stored_reply(kept, account, !started)),
+            Ok(stored) => Ok(self.stored_reply(stored, account, !started)),
             Err(refusal) => Err(self.return_retries(refusal, account)),
         }
     }
 
-    /// Tells what became of a once call, without starting anything.
+    /// Returns the outcome of an at-most-once call without starting it.
     ///
     /// # Errors
     ///
-    /// Returns what is known in place of an answer.
+    /// Returns the refusal if no answer to the key is stored.
     pub async fn inquire(
         &self,
         attempt: Attempt<Planned>,
@@ -81,8 +81,8 @@
     ) -> Result<Reply, Refusal> {
         let none = Retries::new(0);
         let mut outcome = match self.once.inquire(key) {
-            OnceAction::Answer(kept) => return Ok(self.stored_reply(kept, none, true)),
-            OnceAction::Refuse(refuse) => return Err(attempt.refuse_once(refuse)),
+            OnceAction::Answer(stored) => return Ok(self.stored_reply(stored, none, true)),
+            OnceAction::Refuse(reason) => return Err(attempt.refuse_once(reason)),
             OnceAction::Attach(outcome) | OnceAction::Run { outcome, .. } => outcome,
         };
         let attempt = attempt.send();
@@ -92,16 +92,16 @@
                 Some(done) => done
                     .result
                     .clone()
-                    .map(|kept| self.stored_reply(kept, none, true)),
+                    .map(|stored| self.stored_reply(stored, none, true)),
                 None => Err(attempt.lose(Reason::Timeout, "")),
             },
-            _ => Err(attempt.lose(Reason::Timeout, "the call still runs")),
+            _ => Err(attempt.lose(Reason::Timeout, "the call is still running")),
         }
     }
 
-    fn stored_reply(&self, kept: StoredAnswer, account: Retries, repeated: bool) -> Reply {
+    fn stored_reply(&self, stored: StoredAnswer, account: Retries, repeated: bool) -> Reply {
         let mut headers = HeaderMap::new();
-        for (name, value) in &kept.headers {
+        for (name, value) in &stored.headers {
             if let (Ok(name), Ok(value)) = (
                 http::HeaderName::from_bytes(name.as_bytes()),
                 http::HeaderValue::from_bytes(value),
@@ -109,24 +109,25 @@
                 headers.append(name, value);
             }
         }
-        let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
         Reply {
             head: ReplyHead {
                 status,
                 headers,
                 account,
-                // Kept answers do not tell, and calls with a key are not judged.
+                // Stored answers don't record this, and entries don't use it for
+                // calls with a key.
                 onward: false,
                 news: self.status(),
                 kept: repeated,
             },
-            body: Payload::Whole(kept.body.unwrap_or_default()),
+            body: Payload::Whole(stored.body.unwrap_or_default()),
         }
     }
 
-    fn authority(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
-        let home = self.shared.ownership.get(self.service());
-        let row = home.as_ref().map(|home| &*home.row);
+    fn check_owner(&self, key: &OnceKey) -> Result<(), OnceRefusal> {
+        let ownership = self.shared.ownership.get(self.service());
+        let row = ownership.as_ref().map(|ownership| &*ownership.row);
         check_owner(key, self.shared.instance, row)
     }
 
@@ -139,15 +140,15 @@
             account,
         };
         if let OnceKey::Opaque(_) = key
-            && let Err(lost) = self.claim(&key, resumed).await
+            && let Err(error) = self.claim(&key, resumed).await
         {
-            let mut refusal = attempt.refuse_once(lost.reason);
-            if let Some(owner) = lost.owner {
+            let mut refusal = attempt.refuse_once(error.reason);
+            if let Some(owner) = error.owner {
                 refusal.detail = owner.to_string().into();
             }
             return self
                 .once
-                .finish_run(&key, lost.update, not_started(refusal));
+                .finish_run(&key, error.update, not_started(refusal));
         }
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
@@ -198,7 +199,7 @@
             .finish_run(&key, update, RunOutcome { result, account });
     }
 
-    /// Claims a key that carries no mint time in the table service.
+    /// Claims a key without a mint time in the platform's table service.
     async fn claim(&self, key: &OnceKey, resumed: bool) -> Result<(), ClaimError> {
         let own = self.shared.instance;
         let claim = Claim {
@@ -208,7 +209,7 @@
         let content = serde_json::to_vec(&claim).unwrap_or_default().into();
         let name = claim_row_key(self.service(), key);
         let table = self.shared.platform.as_ref();
-        let lost = |reason, update, owner| {
+        let fail = |reason, update, owner| {
             Err(ClaimError {
                 reason,
                 update,
@@ -219,7 +220,7 @@
             Settled::Written(_) => return Ok(()),
             Settled::Lost(row) => row,
             Settled::NotSent(_) | Settled::Unsettled(_) => {
-                return lost(OnceRefusal::NoPlatform, LedgerUpdate::Release, None);
+                return fail(OnceRefusal::NoPlatform, LedgerUpdate::Release, None);
             }
         };
         let found = row.and_then(|row| serde_json::from_slice(&row.content).ok());
@@ -227,16 +228,16 @@
             Some(ClaimCheck::Won) => Ok(()),
             Some(ClaimCheck::OwnEarlier) if resumed => Ok(()),
             Some(ClaimCheck::OwnEarlier) => {
-                lost(OnceRefusal::Forgotten, LedgerUpdate::Retract, None)
+                fail(OnceRefusal::Forgotten, LedgerUpdate::Retract, None)
             }
             Some(ClaimCheck::Other(owner)) => {
-                lost(OnceRefusal::WrongOwner, LedgerUpdate::Retract, Some(owner))
+                fail(OnceRefusal::WrongOwner, LedgerUpdate::Retract, Some(owner))
             }
-            None => lost(OnceRefusal::OutcomeLost, LedgerUpdate::Retract, None),
+            None => fail(OnceRefusal::OutcomeLost, LedgerUpdate::Retract, None),
         }
     }
 
-    /// Asks for an answer that is read whole, as the ledger needs it.
+    /// Sends the call and reads the complete answer, which the ledger stores.
     async fn request_whole(
         &self,
         head: &CallHead,
@@ -248,7 +249,9 @@
         };
         let whole = read_whole(first, rest, MAX_ONCE_ANSWER_BYTES).await?;
         let whole = whole.ok_or_else(|| {
-            BackendError::InvalidAnswer("the answer to a once call is larger than 4 MiB".into())
+            BackendError::InvalidAnswer(
+                "the answer to an at-most-once call is larger than 4 MiB".into(),
+            )
         })?;
         Ok(ServerAnswer {
             body: AnswerBody::Whole(whole),
@@ -257,7 +260,7 @@
     }
 }
 
-/// A key that this instance could not claim.
+/// Failure to claim a key for this instance.
 struct ClaimError {
     reason: OnceRefusal,
     update: LedgerUpdate,
