--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -4,7 +4,8 @@
 use std::time::Instant as Clock;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Depth, GuardNews, Instance, Priority, Retries, RootId, Slots, StartStamp,
+    CentreName, ClassRank, Depth, GuardStatus, Instance, Priority, Retries, RootId, Slots,
+    StartStamp,
 };
 use bramleymount::policy::admission::{
     Admission, CallToken, Decision, Outcome, QueuedCall, Settings,
@@ -61,7 +62,11 @@
             avoid: None,
         };
         if let Pick::Target(target) = table.choose(now, want, &mut rng) {
-            table.report(now, target, AttemptReport::Responded(GuardNews::default()));
+            table.report(
+                now,
+                target,
+                AttemptReport::Responded(GuardStatus::default()),
+            );
         }
         let token = CallToken(call);
         let deadline = now + std::time::Duration::from_secs(1);
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -27,7 +27,7 @@
             failed: None,
             orphan: false,
             closed: false,
-            news: GuardNews::default(),
+            news: GuardStatus::default(),
             met: Vec::new(),
         });
         self.calls.len() - 1
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Depth, GuardNews, Instance, Level, Priority, Retries, RootId,
+    CentreName, ClassRank, Depth, GuardStatus, Instance, Level, Priority, Retries, RootId,
     ServiceName, Slots, StartStamp, Verdict,
 };
 use bramleymount::policy::admission::{
@@ -93,7 +93,7 @@
     /// Given up by its entry, and still running.
     orphan: bool,
     closed: bool,
-    news: GuardNews,
+    news: GuardStatus,
     met: Vec<OnwardOutcome>,
 }
 
--- a/src/call/attempt.rs
+++ b/src/call/attempt.rs
@@ -42,7 +42,7 @@
     }
 
     /// Marks the call as passed on; to be done before the first byte leaves.
-    pub fn send(self) -> Attempt<Sent> {
+    pub fn mark_sent(self) -> Attempt<Sent> {
         let Self { id, state: Planned } = self;
         Attempt { id, state: Sent }
     }
@@ -60,15 +60,21 @@
 
 impl Attempt<Sent> {
     /// Gives the call up without word from the other side.
-    pub fn lose(self, reason: Reason, detail: impl Into<Box<str>>) -> Refusal {
+    pub fn abandon(self, reason: Reason, detail: impl Into<Box<str>>) -> Refusal {
         let Self { state: Sent, .. } = self;
         Refusal::new(Verdict::MayHaveRun, reason, detail)
     }
 
     /// Repeats what the other side said, if it speaks of this attempt.
-    pub fn relay(self, of: AttemptId, verdict: Verdict, reason: Reason, detail: &str) -> Refusal {
+    pub fn relay_refusal(
+        self,
+        of: AttemptId,
+        verdict: Verdict,
+        reason: Reason,
+        detail: &str,
+    ) -> Refusal {
         if of != self.id {
-            return self.lose(Reason::Garbage, "the answer was to another attempt");
+            return self.abandon(Reason::InvalidAnswer, "the answer was to another attempt");
         }
         Refusal::new(verdict, reason, detail)
     }
@@ -77,7 +83,7 @@
     /// backend server itself said that it has not run the call.
     ///
     /// Only where that is certain.
-    pub fn unsent(self) -> Attempt<Planned> {
+    pub fn revert_sent(self) -> Attempt<Planned> {
         Attempt::with_id(self.id)
     }
 }
--- a/src/call/head.rs
+++ b/src/call/head.rs
@@ -3,10 +3,10 @@
 use http::{HeaderMap, Method};
 use tokio::time::Instant;
 
-use super::Confirm;
+use super::StartConfirmation;
 use crate::model::{
-    AttemptId, CallId, CallerName, ClassName, Depth, Fingerprint, OnceKey, Priority, Retries,
-    RootId, ServiceName, Told, WorkspaceId,
+    AttemptId, CallId, CallerName, ClassName, Depth, Fingerprint, OnceKey, Priority, RelayedNotice,
+    Retries, RootId, ServiceName, WorkspaceId,
 };
 use crate::web::Payload;
 
@@ -44,7 +44,7 @@
     /// When the caller stops waiting.
     pub deadline: Instant,
     /// Retries lent to this attempt and all calls below it.
-    pub account: Retries,
+    pub granted_retries: Retries,
     /// Set if the call must run at most once.
     pub once: Option<OnceCall>,
     /// Whether the call was made before.
@@ -58,10 +58,10 @@
     /// What it asks for, if its body was known whole before it was sent.
     pub fingerprint: Option<Fingerprint>,
     /// What the entry was told of the backend server that it is sent to.
-    pub told: Option<Told>,
+    pub notice: Option<RelayedNotice>,
     /// Whether it waits for the rate of its backend server, since no other one
     /// has room.
-    pub waits: bool,
+    pub may_wait: bool,
 }
 
 /// A call with its body.
@@ -72,5 +72,5 @@
     /// The body.
     pub body: Payload,
     /// Set if the entry wants to be asked before the call starts.
-    pub confirm: Option<Confirm>,
+    pub confirm: Option<StartConfirmation>,
 }
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -11,10 +11,12 @@
 mod reply;
 
 pub use attempt::{Attempt, Planned, Sent};
-pub use confirm::Confirm;
+pub use confirm::StartConfirmation;
 pub use head::{Call, CallHead, OnceCall};
-pub use own::{ATTEMPT, CALL, OwnProtocol, TIMEOUT, WORKSPACE, end_to_end};
-pub use protocol::{Facts, Meaning, Origin, Protocol};
+pub use own::{
+    ATTEMPT_HEADER, CALL_HEADER, OwnProtocol, TIMEOUT_HEADER, WORKSPACE_HEADER, strip_hop_headers,
+};
+pub use protocol::{AnswerMeaning, Protocol, RequestInfo, RequestOrigin};
 pub use reason::Reason;
-pub use refusal::{Refusal, Scope};
+pub use refusal::{Refusal, VerdictScope};
 pub use reply::{Reply, ReplyHead};
--- a/src/call/protocol.rs
+++ b/src/call/protocol.rs
@@ -11,7 +11,7 @@
 
 /// What the headers of a request say.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestInfo {
     /// The id of the call, the same for all who know its headers.
     pub call: CallId,
     /// The request that the call belongs to, if the headers tell.
@@ -28,7 +28,7 @@
 
 /// Who sent a request, as the entry knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct Origin<'o> {
+pub struct RequestOrigin<'o> {
     /// The service of the backend server on whose VM it began.
     pub service: &'o ServiceName,
     /// The workspace of the key that came with it.
@@ -37,7 +37,7 @@
 
 /// What an answer of the backend server means.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum AnswerMeaning {
     /// It is the answer to the call.
     Answer,
     /// The backend server has not run the call and will not.
@@ -46,7 +46,7 @@
     /// tell; it has not run the call.
     OtherServer(Option<ServerId>),
     /// It is no answer to this call.
-    Garbage,
+    Invalid,
 }
 
 /// The headers spoken with callers and with the backend server.
@@ -59,19 +59,19 @@
     /// # Errors
     ///
     /// Returns what to write instead.
-    fn read(&self, parts: &Parts) -> Result<Facts, Box<str>>;
+    fn read_request(&self, parts: &Parts) -> Result<RequestInfo, Box<str>>;
 
     /// Returns the id by which the caller knows a request, or nothing.
-    fn id<'r>(&self, headers: &'r HeaderMap) -> &'r str;
+    fn request_id<'r>(&self, headers: &'r HeaderMap) -> &'r str;
 
     /// Makes the headers that go on to the backend server of those that a
     /// caller sent: without its key, and with who it is in place of whatever it
     /// said of that.
-    fn forward(&self, headers: &HeaderMap, from: Origin<'_>) -> HeaderMap;
+    fn forward_headers(&self, headers: &HeaderMap, from: RequestOrigin<'_>) -> HeaderMap;
 
     /// Adds what holds for one attempt: its id, what is left of its time, and
     /// the run of the backend server that it is meant for.
-    fn address(
+    fn add_attempt(
         &self,
         headers: &mut HeaderMap,
         head: &CallHead,
@@ -80,19 +80,24 @@
     );
 
     /// Tells what an answer of the backend server means.
-    fn meaning(&self, head: &CallHead, status: StatusCode, headers: &HeaderMap) -> Meaning;
+    fn answer_meaning(
+        &self,
+        head: &CallHead,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> AnswerMeaning;
 
     /// Reads what a backend server says of itself with an answer.
-    fn notice(&self, _: &HeaderMap) -> Notice {
+    fn read_notice(&self, _: &HeaderMap) -> Notice {
         Notice::default()
     }
 
     /// Returns the status by which a refusal is told to the caller.
-    fn status(&self, refusal: &Refusal) -> StatusCode;
+    fn refusal_status(&self, refusal: &Refusal) -> StatusCode;
 
     /// Writes how long a refused caller should stay away.
-    fn retry_after(&self, time: Duration) -> String;
+    fn format_retry_after(&self, time: Duration) -> String;
 
     /// Adds what identifies the call to an answer.
-    fn sign(&self, headers: &mut HeaderMap, call: CallId, request: &HeaderMap);
+    fn add_call_id(&self, headers: &mut HeaderMap, call: CallId, request: &HeaderMap);
 }
--- a/src/call/reason.rs
+++ b/src/call/reason.rs
@@ -21,7 +21,7 @@
     /// The body is larger than is taken.
     TooLarge,
     /// The body ended before its end.
-    RequestCut,
+    IncompleteRequest,
     /// No such service is declared.
     NoSuchService,
     /// No workspace has the caller's key, or it sent none.
@@ -41,11 +41,11 @@
     /// The instance that was meant has been replaced by another.
     Replaced,
     /// The connection was lost before the answer was whole.
-    Cut,
+    IncompleteAnswer,
     /// The backend server crashed while it ran the call.
     Crashed,
     /// The answer made no sense.
-    Garbage,
+    InvalidAnswer,
     /// It crashes the backend servers that run it.
     QueryOfDeath,
     /// The deadline passed.
@@ -55,7 +55,7 @@
 const PLAIN: [Reason; 17] = [
     Reason::BadRequest,
     Reason::TooLarge,
-    Reason::RequestCut,
+    Reason::IncompleteRequest,
     Reason::NoSuchService,
     Reason::UnknownKey,
     Reason::OverRate,
@@ -65,9 +65,9 @@
     Reason::Unreachable,
     Reason::Rejected,
     Reason::Replaced,
-    Reason::Cut,
+    Reason::IncompleteAnswer,
     Reason::Crashed,
-    Reason::Garbage,
+    Reason::InvalidAnswer,
     Reason::QueryOfDeath,
     Reason::Timeout,
 ];
@@ -103,7 +103,7 @@
             Self::Once(refuse) => refuse.as_str(),
             Self::BadRequest => "bad-request",
             Self::TooLarge => "body-too-large",
-            Self::RequestCut => "request-cut",
+            Self::IncompleteRequest => "request-cut",
             Self::NoSuchService => "no-such-service",
             Self::UnknownKey => "unknown-key",
             Self::OverRate => "over-rate",
@@ -113,9 +113,9 @@
             Self::Unreachable => "unreachable",
             Self::Rejected => "server-refused",
             Self::Replaced => "instance-replaced",
-            Self::Cut => "answer-cut",
+            Self::IncompleteAnswer => "answer-cut",
             Self::Crashed => "server-crashed",
-            Self::Garbage => "answer-garbled",
+            Self::InvalidAnswer => "answer-garbled",
             Self::QueryOfDeath => "query-of-death",
             Self::Timeout => "timeout",
         }
@@ -139,14 +139,14 @@
                 | OnceRefusal::AnswerNotKept,
             ) => StatusCode::CONFLICT,
             Self::Once(_) => StatusCode::SERVICE_UNAVAILABLE,
-            Self::BadRequest | Self::RequestCut => StatusCode::BAD_REQUEST,
+            Self::BadRequest | Self::IncompleteRequest => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::NoSuchService => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::OverRate => StatusCode::TOO_MANY_REQUESTS,
             Self::Forbidden => StatusCode::FORBIDDEN,
             Self::TooDeep => StatusCode::LOOP_DETECTED,
-            Self::Cut | Self::Crashed | Self::Garbage => StatusCode::BAD_GATEWAY,
+            Self::IncompleteAnswer | Self::Crashed | Self::InvalidAnswer => StatusCode::BAD_GATEWAY,
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// Tells whether the cause lies with neither the request nor its caller, so
     /// that the same request may fare better later.
-    pub const fn may_pass(self) -> bool {
+    pub const fn is_transient(self) -> bool {
         matches!(
             self,
             Self::Shed(_)
@@ -170,21 +170,21 @@
     }
 
     /// Tells whether nothing was heard of the other side.
-    pub const fn is_silence(self) -> bool {
-        matches!(self, Self::Unreachable | Self::Cut)
+    pub const fn is_no_response(self) -> bool {
+        matches!(self, Self::Unreachable | Self::IncompleteAnswer)
     }
 
     /// Tells whether another attempt elsewhere may fare better.
-    pub const fn may_differ_elsewhere(self) -> bool {
+    pub const fn may_succeed_elsewhere(self) -> bool {
         matches!(
             self,
             Self::Shed(Shed::Leaving)
                 | Self::Unreachable
                 | Self::Rejected
                 | Self::Replaced
-                | Self::Cut
+                | Self::IncompleteAnswer
                 | Self::Crashed
-                | Self::Garbage
+                | Self::InvalidAnswer
                 | Self::NoConfig
         )
     }
--- a/src/call/refusal.rs
+++ b/src/call/refusal.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use super::Reason;
-use crate::model::{CrashId, GuardNews, Retries, Verdict};
+use crate::model::{CrashId, GuardStatus, Retries, Verdict};
 
 /// What a verdict of `not-run` speaks of, where a call bears a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum VerdictScope {
     /// This attempt; an earlier one with the same key may have run.
     Attempt,
     /// The key as a whole, by the only instance that may start it.
@@ -22,15 +22,15 @@
 pub struct Refusal {
     verdict: Verdict,
     reason: Reason,
-    scope: Scope,
+    scope: VerdictScope,
     /// More on the cause, for people.
     pub detail: Box<str>,
     /// When the caller may come back.
     pub retry_after: Option<Duration>,
     /// Retries that come home.
-    pub account: Retries,
+    pub returned_retries: Retries,
     /// What the guard tells of itself, if one was reached.
-    pub news: Option<GuardNews>,
+    pub guard_status: Option<GuardStatus>,
     /// The crash that the call was under way at, if its server crashed.
     pub crash: Option<CrashId>,
 }
@@ -40,11 +40,11 @@
         Self {
             verdict,
             reason,
-            scope: Scope::Attempt,
+            scope: VerdictScope::Attempt,
             detail: detail.into(),
             retry_after: None,
-            account: Retries::new(0),
-            news: None,
+            returned_retries: Retries::new(0),
+            guard_status: None,
             crash: None,
         }
     }
@@ -60,12 +60,12 @@
     }
 
     /// Tells whether a backend server may have seen the call.
-    pub fn arrived(&self) -> bool {
+    pub fn may_have_arrived(&self) -> bool {
         self.verdict != Verdict::NotRun || self.reason == Reason::Rejected
     }
 
     /// Returns what a verdict of `not-run` speaks of.
-    pub fn scope(&self) -> Scope {
+    pub fn scope(&self) -> VerdictScope {
         self.scope
     }
 
@@ -74,15 +74,15 @@
     /// Only for the instance that may start the key and knows that it has not,
     /// or by a home row read after the call arrived.
     #[must_use]
-    pub fn of_key(mut self) -> Self {
-        self.scope = Scope::Key;
+    pub fn with_key_scope(mut self) -> Self {
+        self.scope = VerdictScope::Key;
         self
     }
 
     /// Weakens the verdict where an earlier attempt at the same call may have
     /// run.
     #[must_use]
-    pub fn after(mut self, earlier: Verdict) -> Self {
+    pub fn with_earlier(mut self, earlier: Verdict) -> Self {
         if self.verdict == Verdict::NotRun {
             self.verdict = earlier;
         }
--- a/src/call/reply.rs
+++ b/src/call/reply.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, StatusCode};
 
-use crate::model::{GuardNews, Retries};
+use crate::model::{GuardStatus, Retries};
 use crate::web::Payload;
 
 /// What travels with an answer besides its body.
@@ -13,13 +13,13 @@
     /// The headers for the caller.
     pub headers: HeaderMap,
     /// Retries that come home.
-    pub account: Retries,
+    pub returned_retries: Retries,
     /// What the guard tells of itself.
-    pub news: GuardNews,
+    pub guard_status: GuardStatus,
     /// Whether the backend server made calls onwards for it.
-    pub onward: bool,
+    pub made_calls: bool,
     /// Whether the answer was kept from an earlier run of the same key.
-    pub kept: bool,
+    pub from_store: bool,
 }
 
 /// An answer with its body.
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -6,7 +6,7 @@
 use serde_saphyr::Spanned;
 
 use super::{LogFormat, LogLevel};
-use crate::model::{CentreName, HallName, ServiceName, Span};
+use crate::model::{CentreName, HallName, PositiveDuration, ServiceName};
 use crate::policy::front::FrontMode;
 use crate::policy::rate::Sharing;
 use crate::policy::route::Balance;
@@ -37,7 +37,7 @@
     #[serde(default)]
     pub(super) fair: bool,
     #[serde(default)]
-    pub(super) grace: Option<Span>,
+    pub(super) grace: Option<PositiveDuration>,
     #[serde(default)]
     pub(super) log: LogEntry,
 }
@@ -80,13 +80,13 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct RepeatsEntry {
     pub(super) share: Spanned<f64>,
-    pub(super) window: Span,
+    pub(super) window: PositiveDuration,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RatesEntry {
-    pub(super) window: Span,
+    pub(super) window: PositiveDuration,
     pub(super) over: Spanned<f64>,
     pub(super) slack: Spanned<f64>,
     #[serde(default)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -8,7 +8,7 @@
 use super::{LogFormat, LogLevel};
 use crate::declare::{Errors, parse, read};
 use crate::error::Error;
-use crate::model::{CentreName, HallName, ServiceName, Span};
+use crate::model::{CentreName, HallName, PositiveDuration, ServiceName};
 use crate::policy::front::FrontMode;
 use crate::policy::rate::RateTolerance;
 use crate::policy::retry::AllowanceSettings;
@@ -80,7 +80,7 @@
     /// Whether workspaces share the backend server's slot time by their rates.
     pub fair: bool,
     /// How long a planned stop waits for calls in flight.
-    pub grace: Span,
+    pub grace: PositiveDuration,
     /// Whether the operators' interface may listen beyond loopback.
     pub open: bool,
     /// Least severe level that is logged.
@@ -174,7 +174,7 @@
             workers,
             ahead,
             fair: file.fair,
-            grace: file.grace.unwrap_or(Span::from_millis(30_000)),
+            grace: file.grace.unwrap_or(PositiveDuration::from_millis(30_000)),
             open: file.listen.operators_beyond_loopback,
             level: file.log.level,
             format: file.log.format,
--- a/src/declare/estate.rs
+++ b/src/declare/estate.rs
@@ -9,8 +9,8 @@
 use super::Workspaces;
 use super::route::{self, Route};
 use crate::model::{
-    Bytes, CallerName, CentreName, ClassName, ClassRank, Connections, HallName, Retries,
-    ServiceName, Slots, Span,
+    Bytes, CallerName, CentreName, ClassName, ClassRank, Connections, HallName, PositiveDuration,
+    Retries, ServiceName, Slots,
 };
 
 /// A data centre with its halls.
@@ -90,7 +90,7 @@
     /// Whether calls may run twice without harm.
     pub idempotent: bool,
     /// How long a caller waits when it does not say so.
-    pub deadline: Span,
+    pub deadline: PositiveDuration,
     /// Retries of one request over its whole tree of calls.
     pub retries: Retries,
 }
@@ -110,9 +110,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Once {
     /// How far ahead mint times are given out.
-    pub horizon: Span,
+    pub horizon: PositiveDuration,
     /// How long keys are remembered.
-    pub memory: Span,
+    pub memory: PositiveDuration,
     /// Most bytes that a guard's ledger holds.
     pub ledger_bytes: Bytes,
 }
--- a/src/declare/route.rs
+++ b/src/declare/route.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{ClassName, RouteName, ServiceName, Span, Weight};
+use crate::model::{ClassName, PositiveDuration, RouteName, ServiceName, Weight};
 
 /// The part of a route's requests that one service takes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,9 +29,9 @@
     /// Whether a request may run twice without harm.
     pub idempotent: bool,
     /// Longest time that a caller is kept waiting.
-    pub timeout: Span,
+    pub timeout: PositiveDuration,
     /// The time within which an answer has its full use.
-    pub objective: Span,
+    pub objective: PositiveDuration,
     /// Most backend servers that one request is sent to.
     pub attempts: u32,
     /// Whether callers need no key.
--- a/src/declare/rules.rs
+++ b/src/declare/rules.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::model::{
-    Bytes, CallerName, ClassName, Rate, Retries, RouteName, ServiceName, Span, Weight,
+    Bytes, CallerName, ClassName, PositiveDuration, Rate, Retries, RouteName, ServiceName, Weight,
     WorkspaceName,
 };
 
@@ -35,7 +35,7 @@
     pub(super) protected: bool,
     #[serde(default)]
     pub(super) once: Option<Spanned<KeyEntry>>,
-    pub(super) deadline: Span,
+    pub(super) deadline: PositiveDuration,
     #[serde(default)]
     pub(super) retries: Option<Retries>,
     #[serde(default)]
@@ -68,8 +68,8 @@
     pub(super) path: Spanned<Box<str>>,
     pub(super) shares: Spanned<Vec<ShareEntry>>,
     pub(super) class: Spanned<ClassName>,
-    pub(super) timeout: Span,
-    pub(super) objective: Span,
+    pub(super) timeout: PositiveDuration,
+    pub(super) objective: PositiveDuration,
     pub(super) attempts: Spanned<u32>,
     #[serde(default)]
     pub(super) public: bool,
@@ -114,19 +114,19 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct OnceEntry {
     #[serde(default = "default_horizon")]
-    pub(super) horizon: Span,
+    pub(super) horizon: PositiveDuration,
     #[serde(default = "default_memory")]
-    pub(super) memory: Span,
+    pub(super) memory: PositiveDuration,
     #[serde(default = "default_ledger")]
     pub(super) ledger_bytes: Bytes,
 }
 
-fn default_horizon() -> Span {
-    Span::from_millis(60_000)
+fn default_horizon() -> PositiveDuration {
+    PositiveDuration::from_millis(60_000)
 }
 
-fn default_memory() -> Span {
-    Span::from_millis(24 * 3600 * 1000)
+fn default_memory() -> PositiveDuration {
+    PositiveDuration::from_millis(24 * 3600 * 1000)
 }
 
 fn default_ledger() -> Bytes {
--- a/src/emulator/backend.rs
+++ b/src/emulator/backend.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Semaphore;
 use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 
-use crate::call::CALL;
+use crate::call::CALL_HEADER;
 use crate::error::Error;
 use crate::model::ServiceName;
 use crate::web::{Client, HttpRequest, HttpResponse, Running, answer_text, serve};
@@ -137,7 +137,7 @@
             tokio::time::sleep(behaviour.service_time).await;
         }
         for onward in &behaviour.onward {
-            if let Err(status) = self.call(onward, head.headers.get(CALL)).await {
+            if let Err(status) = self.call(onward, head.headers.get(CALL_HEADER)).await {
                 return answer_text(status, "an onward call failed");
             }
         }
@@ -167,7 +167,7 @@
             request.headers_mut().insert(HOST, host);
         }
         if let Some(call) = call {
-            request.headers_mut().insert(CALL, call.clone());
+            request.headers_mut().insert(CALL_HEADER, call.clone());
         }
         match self.client.send(request).await {
             Ok(answer) if answer.status.is_success() => Ok(()),
--- a/src/emulator/caller.rs
+++ b/src/emulator/caller.rs
@@ -159,7 +159,7 @@
             HeaderValue::from_str(self.load.service.as_str()).ok()?,
         );
         headers.insert(TAG, HeaderValue::from_str(&self.tag).ok()?);
-        headers.insert(crate::entry::ATTEMPT, HeaderValue::from(attempt));
+        headers.insert(crate::entry::ATTEMPT_HEADER, HeaderValue::from(attempt));
         if let Some(key) = key {
             let name = HeaderName::from_static("idempotency-key");
             headers.insert(name, HeaderValue::from_str(key).ok()?);
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -10,7 +10,7 @@
 use crate::daemon::Daemon;
 use crate::declare::{Estate, load, split};
 use crate::error::Error;
-use crate::model::{CentreName, HallName, ServiceName, Slots, Span, Version};
+use crate::model::{CentreName, HallName, PositiveDuration, ServiceName, Slots, Version};
 use crate::operator::{ApplyRequest, ApplyResult, apply};
 use crate::policy::front::FrontMode;
 use crate::policy::route::Balance;
@@ -219,7 +219,7 @@
             workers: 1,
             ahead: 1,
             fair: false,
-            grace: Span::from_millis(10_000),
+            grace: PositiveDuration::from_millis(10_000),
             open: false,
             level: LogLevel::Warn,
             format: LogFormat::Text,
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -9,7 +9,7 @@
 use super::patience::Patience;
 use super::place::{Place, find};
 use super::rejected::{Rejected, rejected};
-use crate::call::{CallHead, Facts, OnceCall, Origin, Reason};
+use crate::call::{CallHead, OnceCall, Reason, RequestInfo, RequestOrigin};
 use crate::declare::{Class, Estate, Limit, Service, Workspace};
 use crate::model::{
     AttemptId, CallerName, ClassRank, Depth, OnceKey, Priority, Retries, RootId, ServiceName,
@@ -61,7 +61,7 @@
     shared: &Shared,
 ) -> Result<Accepted, Rejected> {
     let wrong = |e| rejected(Reason::BadRequest, e);
-    let facts = shared.protocol.read(parts).map_err(wrong)?;
+    let facts = shared.protocol.read_request(parts).map_err(wrong)?;
     let place = find(parts, estate, &shared.splits)?;
     let parent = facts.parent.and_then(|id| shared.calls.get(id));
     let declared = estate.caller(from);
@@ -112,9 +112,9 @@
             workspace: head
                 .workspace
                 .or(workspace.map(|own| WorkspaceId::of(&own.name))),
-            headers: shared.protocol.forward(
+            headers: shared.protocol.forward_headers(
                 &parts.headers,
-                Origin {
+                RequestOrigin {
                     service: &shared.config.service,
                     workspace: workspace.map(|workspace| &workspace.name),
                 },
@@ -122,7 +122,7 @@
             once,
             single,
             priority: if single {
-                Priority::single(rank, head.root)
+                Priority::for_single_call(rank, head.root)
             } else {
                 head.priority
             },
@@ -150,7 +150,7 @@
 /// without routes they are known by the id of the call that they are made for,
 /// which nobody else can guess.
 fn workspace<'e>(
-    facts: &Facts,
+    facts: &RequestInfo,
     estate: &'e Estate,
     place: &Place<'_>,
     parent: Option<&Held>,
@@ -185,7 +185,7 @@
 fn head(
     parts: &Parts,
     came: Instant,
-    facts: &Facts,
+    facts: &RequestInfo,
     place: &Place<'_>,
     (rank, class): (ClassRank, &Class),
     parent: Option<&Held>,
@@ -221,15 +221,15 @@
         depth,
         single: false,
         deadline: parent.map_or(own, |held| own.min(held.deadline)),
-        account: Retries::new(0),
+        granted_retries: Retries::new(0),
         once: None,
         repeat: false,
         method: parts.method.clone(),
         target: target.into(),
         headers: http::HeaderMap::new(),
         fingerprint: None,
-        told: None,
-        waits: false,
+        notice: None,
+        may_wait: false,
     })
 }
 
--- a/src/entry/again.rs
+++ b/src/entry/again.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::forward::Forward;
-use crate::call::{Reason, Refusal, Scope};
+use crate::call::{Reason, Refusal, VerdictScope};
 use crate::model::Verdict;
 use crate::policy::admission::Shed;
 use crate::policy::retry::{FailedAttempt, RetryDecision, decide_retry};
@@ -25,13 +25,13 @@
     pub(super) fn weigh(&self, refusal: Refusal) -> Refusal {
         let unsure = self.head().once.is_some()
             && self.accepted.count != Some(1)
-            && refusal.scope() == Scope::Attempt;
+            && refusal.scope() == VerdictScope::Attempt;
         let earlier = if unsure {
             Verdict::MayHaveRun
         } else {
             self.earlier
         };
-        refusal.after(earlier)
+        refusal.with_earlier(earlier)
     }
 
     /// Decides on another attempt after one failed.
@@ -40,7 +40,7 @@
         if failed.verdict() == Verdict::MayHaveRun {
             self.earlier = Verdict::MayHaveRun;
         }
-        if failed.arrived() {
+        if failed.may_have_arrived() {
             self.sent += 1;
         } else if head.once.is_none() {
             return self.detour(failed);
@@ -50,9 +50,9 @@
         let once_again = head.once.is_some()
             && matches!(
                 failed.reason(),
-                Reason::Cut | Reason::Crashed | Reason::Unreachable
+                Reason::IncompleteAnswer | Reason::Crashed | Reason::Unreachable
             );
-        if !once_again && !failed.reason().may_differ_elsewhere() {
+        if !once_again && !failed.reason().may_succeed_elsewhere() {
             return false;
         }
         // A call that every server has refused may be asked of them again; one
@@ -90,7 +90,7 @@
     /// another guard; that is no retry, since nothing was asked of a server.
     fn detour(&mut self, failed: &Refusal) -> bool {
         let reason = failed.reason();
-        let elsewhere = reason.may_differ_elsewhere() || reason.is_overload();
+        let elsewhere = reason.may_succeed_elsewhere() || reason.is_overload();
         self.detours += 1;
         elsewhere && (self.detours <= MAX_DETOURS || self.may_wait_after(failed))
     }
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
 
 use super::header::{REASON, TICKET, VERDICT};
-use crate::call::{Protocol, Refusal, Reply, end_to_end};
+use crate::call::{Protocol, Refusal, Reply, strip_hop_headers};
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
@@ -25,7 +25,7 @@
 
     /// Returns the id by which the caller knows the request.
     pub(super) fn id(&self) -> &'r str {
-        self.protocol.id(self.request)
+        self.protocol.request_id(self.request)
     }
 
     /// Gives the backend server's own answer.
@@ -34,14 +34,15 @@
         let streamed = matches!(body, Payload::Stream { .. });
         let mut answer = Response::new(caller_body(body));
         *answer.status_mut() = head.status;
-        *answer.headers_mut() = end_to_end(head.headers);
+        *answer.headers_mut() = strip_hop_headers(head.headers);
         if !streamed {
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
-        if head.kept {
+        if head.from_store {
             put(&mut answer, KEPT, "true");
         }
-        self.protocol.sign(answer.headers_mut(), call, self.request);
+        self.protocol
+            .add_call_id(answer.headers_mut(), call, self.request);
         answer
     }
 
@@ -60,15 +61,20 @@
             text.push_str(&refusal.detail);
         }
         text.push('\n');
-        let status = self.protocol.status(refusal);
+        let status = self.protocol.refusal_status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
         put(&mut answer, VERDICT, verdict.as_str());
         put(&mut answer, REASON, reason.as_str());
         if let Some(call) = call {
-            self.protocol.sign(answer.headers_mut(), call, self.request);
+            self.protocol
+                .add_call_id(answer.headers_mut(), call, self.request);
         }
         if let Some(after) = refusal.retry_after {
-            put(&mut answer, RETRY_AFTER, &self.protocol.retry_after(after));
+            put(
+                &mut answer,
+                RETRY_AFTER,
+                &self.protocol.format_retry_after(after),
+            );
         }
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -55,7 +55,7 @@
     /// Adds when the caller may come back to a refusal that does not say so,
     /// where coming back may help.
     pub(super) fn advise(&self, refusal: &mut Refusal) {
-        let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().may_pass();
+        let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().is_transient();
         if helps && refusal.retry_after.is_none() {
             let time = SOON.mul_f64(rand::rng().random_range(0.5..1.5));
             refusal.retry_after = Some(time);
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -12,7 +12,7 @@
 use super::purse::Purse;
 use super::sending::Sending;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
-use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
+use crate::model::{AttemptId, Instance, RelayedNotice, Retries, Verdict};
 use crate::peer::{self, Message};
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
@@ -216,14 +216,14 @@
         attempt: AttemptId,
         account: Retries,
         body: Payload,
-        told: Option<Told>,
+        told: Option<RelayedNotice>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
-                account,
-                told,
-                waits: self.waits,
+                granted_retries: account,
+                notice: told,
+                may_wait: self.waits,
                 ..self.head().clone()
             },
             body,
@@ -245,8 +245,8 @@
 
     fn settle(&self, loan: RetryGrant, result: &Result<Reply, Refusal>) {
         let rest = match result {
-            Ok(reply) => Some(reply.head.account),
-            Err(refusal) if refusal.news.is_some() => Some(refusal.account),
+            Ok(reply) => Some(reply.head.returned_retries),
+            Err(refusal) if refusal.guard_status.is_some() => Some(refusal.returned_retries),
             Err(refusal) if refusal.verdict() == Verdict::NotRun => Some(loan.retries),
             Err(_) => None,
         };
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -21,7 +21,9 @@
 use crate::call::{Attempt, Reason, Refusal};
 use crate::guard::Guard;
 use crate::metrics::Ending;
-use crate::model::{Asked, CallId, CallerName, Fingerprint, OnceKey, ServiceName, Verdict};
+use crate::model::{
+    CallId, CallerName, Fingerprint, OnceKey, RequestContent, ServiceName, Verdict,
+};
 use crate::peer::Pool;
 use crate::policy::admission::Shed;
 use crate::policy::once::OnceRefusal;
@@ -181,7 +183,7 @@
         let body = match timeout_at(deadline, receive(&parts.headers, body, hold)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::TooLarge)) => return refused(Reason::TooLarge),
-            Ok(Err(BodyError::Cut)) => return refused(Reason::RequestCut),
+            Ok(Err(BodyError::Cut)) => return refused(Reason::IncompleteRequest),
             Err(_) => return refused(Reason::Shed(Shed::Deadline)),
         };
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
@@ -191,7 +193,7 @@
         match timeout_at(latest, Forward::new(&self.context, accepted).run(body)).await {
             Ok(ended) => ended,
             Err(_) => Ended {
-                result: Err(Attempt::plan().send().lose(Reason::Timeout, "")),
+                result: Err(Attempt::plan().mark_sent().abandon(Reason::Timeout, "")),
                 retries: 0,
                 targets: Box::default(),
             },
@@ -209,7 +211,7 @@
         let Payload::Whole(body) = body else {
             return None;
         };
-        let asked = Asked {
+        let asked = RequestContent {
             method: &parts.method,
             host: host(parts),
             target: &accepted.head.target,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -20,7 +20,7 @@
 mod sending;
 mod serve;
 
-pub use crate::call::{ATTEMPT, TIMEOUT};
+pub use crate::call::{ATTEMPT_HEADER, TIMEOUT_HEADER};
 pub use handler::Entry;
 pub use header::{REASON, TICKET, VERDICT};
 pub use serve::serve_callers;
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -30,7 +30,9 @@
         {
             return Ok(());
         }
-        Err(Attempt::plan().refuse_once(OnceRefusal::NotOwned).of_key())
+        Err(Attempt::plan()
+            .refuse_once(OnceRefusal::NotOwned)
+            .with_key_scope())
     }
 
     pub(super) fn place(&self, key: &OnceKey) -> Destination {
@@ -69,7 +71,7 @@
         }
         let lost = matches!(
             failed.reason(),
-            Reason::Cut | Reason::Crashed | Reason::Garbage
+            Reason::IncompleteAnswer | Reason::Crashed | Reason::InvalidAnswer
         );
         if !lost || failed.verdict() != Verdict::MayHaveRun {
             return Err(failed);
@@ -77,7 +79,7 @@
         let asked = Box::pin(self.inquire(target, &once.key)).await;
         match asked {
             Err(answer) if answer.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
-            Err(answer) => Err(answer.after(Verdict::MayHaveRun)),
+            Err(answer) => Err(answer.with_earlier(Verdict::MayHaveRun)),
             other => other,
         }
     }
@@ -95,7 +97,7 @@
         };
         match self.inquire(owner, key).await {
             Ok(reply) => Ok(reply),
-            Err(answer) => Err(answer.after(Verdict::MayHaveRun)),
+            Err(answer) => Err(answer.with_earlier(Verdict::MayHaveRun)),
         }
     }
 }
--- a/src/entry/patience.rs
+++ b/src/entry/patience.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::place::Place;
-use crate::call::Facts;
+use crate::call::RequestInfo;
 use crate::model::RouteName;
 
 /// The time that a caller of a route has.
@@ -23,7 +23,7 @@
 
 impl Patience {
     /// Returns the time of a caller that tells it, if a route matched.
-    pub(super) fn new(facts: &Facts, place: &Place<'_>) -> Option<Self> {
+    pub(super) fn new(facts: &RequestInfo, place: &Place<'_>) -> Option<Self> {
         let route = place.route?;
         Some(Self {
             route: route.name.clone(),
--- a/src/entry/sending.rs
+++ b/src/entry/sending.rs
@@ -30,21 +30,21 @@
     /// Reports how the attempt ended.
     pub(super) fn report(mut self, result: &Result<Reply, Refusal>) {
         let news = match result {
-            Ok(reply) => Some(reply.head.news),
-            Err(refusal) => refusal.news,
+            Ok(reply) => Some(reply.head.guard_status),
+            Err(refusal) => refusal.guard_status,
         };
         let report = match news {
             Some(news) if matches!(result, Err(r) if r.reason() == Reason::Rejected) => {
                 AttemptReport::Rejected(news)
             }
             Some(news) => AttemptReport::Responded(news),
-            None if matches!(result, Err(refusal) if refusal.reason().is_silence()) => {
+            None if matches!(result, Err(refusal) if refusal.reason().is_no_response()) => {
                 AttemptReport::Unreachable
             }
             None => AttemptReport::Failed,
         };
         let notices = &self.forward.context.shared.notices;
-        match (result, news.and_then(|news| news.told)) {
+        match (result, news.and_then(|news| news.notice)) {
             (_, Some(told)) => notices.hear(self.target.address, told),
             (Ok(_), None) => notices.hear_none(self.target.address),
             // A guard that refuses may not have heard its server yet.
@@ -67,7 +67,7 @@
     fn time(&self, table: &mut Table, now: Instant, result: &Result<Reply, Refusal>) {
         let time = now.saturating_duration_since(self.sent);
         let took = match result {
-            Ok(reply) if reply.head.kept => return,
+            Ok(reply) if reply.head.from_store => return,
             Ok(reply) if reply.head.status.is_success() => CallTime::Answered(time),
             Ok(_) | Err(_) => CallTime::Unanswered(time),
         };
@@ -86,7 +86,7 @@
     fn learn(&self, table: &mut Table, reply: &Reply) {
         let own = self.forward.accepted.parent.is_none() && self.forward.head().once.is_none();
         if own && !reply.head.status.is_server_error() {
-            table.record_own_call(self.forward.head().priority.rank(), reply.head.onward);
+            table.record_own_call(self.forward.head().priority.rank(), reply.head.made_calls);
         }
     }
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -43,7 +43,7 @@
         let shared = &self.0.context.shared;
         shared.metrics.count("begun_ahead");
         if shared.decisions.may_log() {
-            let request = shared.protocol.id(&parts.headers);
+            let request = shared.protocol.request_id(&parts.headers);
             spdlog::info!("request begun ahead", kv: { request });
         }
     }
--- a/src/guard/announcement.rs
+++ b/src/guard/announcement.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::{Guard, Lease, LeaseState};
-use crate::model::{Born, ServerId, Slots};
+use crate::model::{ServerId, ServerStart, Slots};
 use crate::policy::member::{Announcement, AnnouncementEffect};
 
 impl Guard {
@@ -72,7 +72,7 @@
     }
 
     /// Takes note that a run of the backend server has ended or is about to.
-    pub fn record_goodbye(&self, server: &ServerId, born: Option<Born>) {
+    pub fn record_goodbye(&self, server: &ServerId, born: Option<ServerStart>) {
         if self.presence.lock().record_departure(server, born) {
             self.drain();
             self.shared.announced.notify_one();
--- a/src/guard/gate.rs
+++ b/src/guard/gate.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::call::CallHead;
-use crate::model::{ClassRank, GuardNews, Slots, WorkspaceId};
+use crate::model::{ClassRank, GuardStatus, Slots, WorkspaceId};
 use crate::policy::admission::{
     Admission, CallToken, Decision, Event, GuardLoad, OnwardOutcome, Outcome, QueuedCall, Settings,
     Shed, Usage, Weights,
@@ -53,7 +53,7 @@
         let result = self.admit(head).await;
         match result {
             // It is sent to another server.
-            Err(Shed::Limited) if !head.waits => {}
+            Err(Shed::Limited) if !head.may_wait => {}
             Err(_) => self.count_shed(head.workspace),
             Ok(_) => {}
         }
@@ -72,7 +72,7 @@
                 workspace: head.workspace,
                 deadline: head.deadline,
                 expires: head.deadline,
-                may_wait: head.waits,
+                may_wait: head.may_wait,
             };
             let (sender, receiver) = oneshot::channel();
             state.waiters.insert(token, sender);
@@ -180,7 +180,7 @@
     }
 
     /// Returns what answers carry of this guard.
-    pub fn status(&self) -> GuardNews {
+    pub fn status(&self) -> GuardStatus {
         self.state.lock().admission.status(Instant::now())
     }
 
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::Guard;
-use crate::model::{GuardNews, NamedRate, Notice, Rate, RunId, Told};
+use crate::model::{GuardStatus, Notice, Rate, RelayedNotice, RequestedRate, RunId};
 use crate::policy::admission::Shed;
 
 impl Guard {
@@ -21,9 +21,9 @@
             self.record_leaving(run);
         }
         match notice.rate {
-            NamedRate::None if !in_order => return,
-            NamedRate::Unreadable => self.log_notice("its rate is no number", None),
-            NamedRate::None | NamedRate::Some(_) => {}
+            RequestedRate::None if !in_order => return,
+            RequestedRate::Unreadable => self.log_notice("its rate is no number", None),
+            RequestedRate::None | RequestedRate::Some(_) => {}
         }
         let before = self.gate.rate();
         if self.gate.record_rate(sent_at, notice.rate) {
@@ -33,7 +33,7 @@
     }
 
     /// Takes what an entry was told of the backend server before.
-    pub(super) fn apply_relayed_notice(&self, notice: Told) {
+    pub(super) fn apply_relayed_notice(&self, notice: RelayedNotice) {
         if self.run() != Some(notice.run) {
             return;
         }
@@ -48,9 +48,9 @@
     }
 
     /// Returns what this guard tells of itself and of its backend server.
-    pub(super) fn status(&self) -> GuardNews {
-        GuardNews {
-            told: self.relayed_notice(),
+    pub(super) fn status(&self) -> GuardStatus {
+        GuardStatus {
+            notice: self.relayed_notice(),
             ..self.gate.status()
         }
     }
@@ -59,14 +59,14 @@
     pub(super) fn detail(&self, shed: Shed) -> String {
         match (shed, self.gate.rate()) {
             (Shed::Limited, Some(rate)) => {
-                let room = self.gate.status().room.as_millis();
+                let room = self.gate.status().rate_delay.as_millis();
                 format!("its server takes {rate}, room in {room} ms")
             }
             _ => String::new(),
         }
     }
 
-    fn relayed_notice(&self) -> Option<Told> {
+    fn relayed_notice(&self) -> Option<RelayedNotice> {
         let rate = self.gate.rate();
         let presence = self.presence.lock();
         let leaving = presence.is_leaving();
@@ -74,7 +74,7 @@
             return None;
         }
         let run = presence.run()?;
-        Some(Told { run, rate, leaving })
+        Some(RelayedNotice { run, rate, leaving })
     }
 
     /// Sends a run nothing more that said with an answer that it leaves.
--- a/src/guard/pacing.rs
+++ b/src/guard/pacing.rs
@@ -5,12 +5,12 @@
 use tokio::time::Instant;
 
 use super::Gate;
-use crate::model::{NamedRate, Rate};
+use crate::model::{Rate, RequestedRate};
 
 impl Gate {
     /// Takes what an answer to a call says that was sent at `sent`; returns
     /// whether that changes the rate.
-    pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: NamedRate) -> bool {
+    pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: RequestedRate) -> bool {
         let now = Instant::now();
         let changed = self.state.lock().admission.record_rate(now, sent_at, rate);
         if changed {
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -8,14 +8,14 @@
 use super::server_request::ServerAnswer;
 use super::{Guard, SlotPermit};
 use crate::call::{Attempt, Reason, Refusal, Reply, ReplyHead, Sent};
-use crate::model::{GuardNews, Retries};
+use crate::model::{GuardStatus, Retries};
 use crate::policy::admission::Outcome;
 use crate::tables::{Held, HeldCall};
 use crate::web::{Chunks, Payload};
 
 impl Guard {
     pub(super) fn close_call(&self, mut refusal: Refusal, held: &HeldCall) -> Refusal {
-        refusal.account = held.close();
+        refusal.returned_retries = held.close();
         refusal
     }
 
@@ -27,25 +27,29 @@
     ) -> Refusal {
         let refusal = match error {
             BackendError::Connect(cause) | BackendError::NoListener(cause) => attempt
-                .unsent()
+                .revert_sent()
                 .refuse(Reason::Unreachable, cause.clone())
-                .of_key(),
+                .with_key_scope(),
             BackendError::NotRun(retry_after) => {
-                let mut refusal = attempt.unsent().refuse(Reason::Rejected, "");
+                let mut refusal = attempt.revert_sent().refuse(Reason::Rejected, "");
                 refusal.retry_after = *retry_after;
                 refusal
             }
             BackendError::OtherServer(found) => {
                 let found = found.as_ref().map_or("", |server| server.as_str());
-                attempt.unsent().refuse(Reason::Replaced, found)
+                attempt.revert_sent().refuse(Reason::Replaced, found)
+            }
+            BackendError::ConnectionLost(cause) => {
+                attempt.abandon(Reason::IncompleteAnswer, cause.clone())
             }
-            BackendError::ConnectionLost(cause) => attempt.lose(Reason::Cut, cause.clone()),
             BackendError::Crashed(crash) => {
-                let mut refusal = attempt.lose(Reason::Crashed, crash.to_string());
+                let mut refusal = attempt.abandon(Reason::Crashed, crash.to_string());
                 refusal.crash = Some(*crash);
                 refusal
             }
-            BackendError::InvalidAnswer(cause) => attempt.lose(Reason::Garbage, cause.clone()),
+            BackendError::InvalidAnswer(cause) => {
+                attempt.abandon(Reason::InvalidAnswer, cause.clone())
+            }
         };
         self.shared
             .metrics
@@ -92,23 +96,23 @@
         let mut head = ReplyHead {
             status: answer.status,
             headers: answer.headers,
-            account: Retries::new(0),
-            news: GuardNews::default(),
-            onward,
-            kept: false,
+            returned_retries: Retries::new(0),
+            guard_status: GuardStatus::default(),
+            made_calls: onward,
+            from_store: false,
         };
         let body = match answer.body {
             AnswerBody::Whole(bytes) => {
-                head.account = held.close();
+                head.returned_retries = held.close();
                 drop(slot);
                 Payload::Whole(bytes)
             }
             AnswerBody::Large(first, rest) => {
-                head.account = held.close();
+                head.returned_retries = held.close();
                 self.forward_body(answer.length, first, rest, (slot, held))
             }
         };
-        head.news = self.status();
+        head.guard_status = self.status();
         Reply { head, body }
     }
 
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -32,7 +32,7 @@
         once: OnceCall,
         body: Bytes,
     ) -> Result<Reply, Refusal> {
-        let account = head.account;
+        let account = head.granted_retries;
         let deadline = head.deadline;
         if let Err(refuse) = self.authority(&once.key) {
             return Err(self.return_retries(attempt.refuse_once(refuse), account));
@@ -50,7 +50,7 @@
                 (outcome, true)
             }
         };
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let waited =
             tokio::time::timeout_at(deadline, outcome.wait_for(|done| done.is_some())).await;
         let done = match waited {
@@ -59,7 +59,7 @@
         };
         let Some(done) = done else {
             let detail = "repeat with the same key to learn the outcome";
-            return Err(attempt.lose(Reason::Timeout, detail));
+            return Err(attempt.abandon(Reason::Timeout, detail));
         };
         let account = if started { done.account } else { account };
         match done.result {
@@ -85,7 +85,7 @@
             OnceAction::Refuse(refuse) => return Err(attempt.refuse_once(refuse)),
             OnceAction::Attach(outcome) | OnceAction::Run { outcome, .. } => outcome,
         };
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let waited = tokio::time::timeout(wait, outcome.wait_for(|done| done.is_some())).await;
         match waited {
             Ok(Ok(done)) => match &*done {
@@ -93,9 +93,9 @@
                     .result
                     .clone()
                     .map(|kept| self.stored_reply(kept, none, true)),
-                None => Err(attempt.lose(Reason::Timeout, "")),
+                None => Err(attempt.abandon(Reason::Timeout, "")),
             },
-            _ => Err(attempt.lose(Reason::Timeout, "the call still runs")),
+            _ => Err(attempt.abandon(Reason::Timeout, "the call still runs")),
         }
     }
 
@@ -114,11 +114,11 @@
             head: ReplyHead {
                 status,
                 headers,
-                account,
+                returned_retries: account,
                 // Kept answers do not tell, and calls with a key are not judged.
-                onward: false,
-                news: self.status(),
-                kept: repeated,
+                made_calls: false,
+                guard_status: self.status(),
+                from_store: repeated,
             },
             body: Payload::Whole(kept.body.unwrap_or_default()),
         }
@@ -133,7 +133,7 @@
     async fn run_once(self: Arc<Self>, head: CallHead, once: OnceCall, body: Bytes, resumed: bool) {
         let key = once.key;
         let attempt = Attempt::with_id(head.attempt);
-        let account = head.account;
+        let account = head.granted_retries;
         let not_started = |refusal: Refusal| RunOutcome {
             result: Err(refusal),
             account,
@@ -152,27 +152,30 @@
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
             Err(refused) => {
-                let done = not_started(refused.refuse(attempt).of_key());
+                let done = not_started(refused.refuse(attempt).with_key_scope());
                 return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
         let mut slot = match self.acquire_slot(&head).await {
             Ok(slot) => slot,
             Err(shed) => {
-                let done = not_started(attempt.refuse(Reason::Shed(shed), "").of_key());
+                let done = not_started(attempt.refuse(Reason::Shed(shed), "").with_key_scope());
                 return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
         if let Err(refused) = self.check_not_quarantined(&head) {
-            let done = not_started(refused.refuse(attempt).of_key());
+            let done = not_started(refused.refuse(attempt).with_key_scope());
             return self.once.finish_run(&key, LedgerUpdate::Release, done);
         }
         let held = self.shared.calls.hold(head.call, Held::new(&head));
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let limit = head.deadline + OUTCOME_GRACE;
         let sent = tokio::time::timeout_at(limit, self.request_whole(&head, body)).await;
         let (update, result) = match sent {
-            Err(_) => (LedgerUpdate::Lose, Err(attempt.lose(Reason::Timeout, ""))),
+            Err(_) => (
+                LedgerUpdate::Lose,
+                Err(attempt.abandon(Reason::Timeout, "")),
+            ),
             Ok(Err(error)) => {
                 let update = match error {
                     BackendError::Connect(_)
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -133,8 +133,8 @@
     /// Returns what to tell the caller in place of an answer.
     pub async fn serve(self: &Arc<Self>, call: Call) -> Result<Reply, Refusal> {
         let attempt = Attempt::with_id(call.head.attempt);
-        let account = call.head.account;
-        if let Some(notice) = call.head.told {
+        let account = call.head.granted_retries;
+        if let Some(notice) = call.head.notice {
             self.apply_relayed_notice(notice);
         }
         let result = match self.check(&call.head) {
@@ -160,7 +160,7 @@
             },
         };
         result.map_err(|mut refusal| {
-            refusal.news = Some(self.status());
+            refusal.guard_status = Some(self.status());
             if let Reason::Shed(shed) = refusal.reason()
                 && shed.is_overload()
             {
@@ -189,7 +189,7 @@
 
     /// Sends the whole account home with a refusal; nothing of it was used.
     pub(super) fn return_retries(&self, mut refusal: Refusal, account: Retries) -> Refusal {
-        refusal.account = account;
+        refusal.returned_retries = account;
         refusal
     }
 
@@ -218,30 +218,32 @@
         } = call;
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
-            Err(refused) => return Err(self.return_retries(refused.refuse(attempt), head.account)),
+            Err(refused) => {
+                return Err(self.return_retries(refused.refuse(attempt), head.granted_retries));
+            }
         };
         let mut slot = match self.acquire_slot(&head).await {
             Ok(slot) => slot,
             Err(shed) => {
                 let refusal = attempt.refuse(Reason::Shed(shed), self.detail(shed));
-                return Err(self.return_retries(refusal, head.account));
+                return Err(self.return_retries(refusal, head.granted_retries));
             }
         };
         if let Some(confirm) = confirm {
-            let confirmed = tokio::time::timeout_at(head.deadline, confirm.ask()).await;
+            let confirmed = tokio::time::timeout_at(head.deadline, confirm.request()).await;
             if confirmed != Ok(true) {
                 let refusal = attempt.refuse(Reason::Shed(Shed::Cancelled), "");
-                return Err(self.return_retries(refusal, head.account));
+                return Err(self.return_retries(refusal, head.granted_retries));
             }
         }
         if let Err(refused) = self.check_not_quarantined(&head) {
-            return Err(self.return_retries(refused.refuse(attempt), head.account));
+            return Err(self.return_retries(refused.refuse(attempt), head.granted_retries));
         }
         let held = self.shared.calls.hold(head.call, Held::new(&head));
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let result = tokio::time::timeout_at(head.deadline, self.request(&head, body)).await;
         let answer = match result {
-            Err(_) => return Err(self.close_call(attempt.lose(Reason::Timeout, ""), &held)),
+            Err(_) => return Err(self.close_call(attempt.abandon(Reason::Timeout, ""), &held)),
             Ok(Err(error)) => {
                 slot.record_fault(error.is_fault());
                 return Err(self.refuse_failed(attempt, &error, &held));
--- a/src/guard/server_request.rs
+++ b/src/guard/server_request.rs
@@ -6,7 +6,7 @@
 
 use super::Guard;
 use super::backend::{AnswerBody, BackendError, read_small};
-use crate::call::{CallHead, Meaning, end_to_end};
+use crate::call::{AnswerMeaning, CallHead, strip_hop_headers};
 use crate::model::ServerId;
 use crate::web::Payload;
 
@@ -68,25 +68,25 @@
     ) -> Result<ServerAnswer, BackendError> {
         let protocol = &self.shared.protocol;
         let mut headers = head.headers.clone();
-        protocol.address(&mut headers, head, Instant::now(), server);
+        protocol.add_attempt(&mut headers, head, Instant::now(), server);
         let (run, sent_at) = (self.run(), Instant::now());
         let answer = self.backend.send(head, headers, body).await?;
         let (parts, body) = answer.into_parts();
-        let meaning = protocol.meaning(head, parts.status, &parts.headers);
-        let notice = protocol.notice(&parts.headers);
-        if matches!(meaning, Meaning::Answer | Meaning::NotRun) && run == self.run() {
+        let meaning = protocol.answer_meaning(head, parts.status, &parts.headers);
+        let notice = protocol.read_notice(&parts.headers);
+        if matches!(meaning, AnswerMeaning::Answer | AnswerMeaning::NotRun) && run == self.run() {
             // A refusal or an error says nothing by what it leaves out.
-            let in_order = meaning == Meaning::Answer && !parts.status.is_server_error();
+            let in_order = meaning == AnswerMeaning::Answer && !parts.status.is_server_error();
             self.record_notice(sent_at, notice, in_order);
         }
         match meaning {
-            Meaning::Answer => {}
-            Meaning::NotRun => return Err(BackendError::NotRun(notice.retry_after)),
-            Meaning::OtherServer(found) => {
+            AnswerMeaning::Answer => {}
+            AnswerMeaning::NotRun => return Err(BackendError::NotRun(notice.retry_after)),
+            AnswerMeaning::OtherServer(found) => {
                 self.record_mismatch(server, found.as_ref());
                 return Err(BackendError::OtherServer(found));
             }
-            Meaning::Garbage => {
+            AnswerMeaning::Invalid => {
                 let cause = "the answer is to another call, or no server's";
                 return Err(BackendError::InvalidAnswer(cause.into()));
             }
@@ -94,7 +94,7 @@
         let length = body.size_hint().exact();
         Ok(ServerAnswer {
             status: parts.status,
-            headers: end_to_end(parts.headers),
+            headers: strip_hop_headers(parts.headers),
             length,
             body: read_small(body).await?,
         })
--- a/src/model/fingerprint.rs
+++ b/src/model/fingerprint.rs
@@ -7,7 +7,7 @@
 
 /// The parts of a request that all attempts at it have in common.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'r> {
+pub struct RequestContent<'r> {
     /// The method.
     pub method: &'r Method,
     /// The host, without its port.
@@ -27,27 +27,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint {
     /// What is asked for.
-    pub asked: u128,
+    pub digest: u128,
     /// Who asks.
     pub caller: u64,
 }
 
 impl Fingerprint {
     /// Computes the fingerprint of a request whose body is known whole.
-    pub fn of(asked: Asked<'_>, caller: &str) -> Self {
-        let mut digest = Xxh3::new();
+    pub fn of(content: RequestContent<'_>, caller: &str) -> Self {
+        let mut hasher = Xxh3::new();
         let head = [
-            asked.method.as_str().as_bytes(),
-            asked.host.as_bytes(),
-            asked.target.as_bytes(),
+            content.method.as_str().as_bytes(),
+            content.host.as_bytes(),
+            content.target.as_bytes(),
         ];
         for part in head {
-            digest.update(&(part.len() as u64).to_le_bytes());
-            digest.update(part);
+            hasher.update(&(part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
-        digest.update(asked.body);
+        hasher.update(content.body);
         Self {
-            asked: digest.digest128(),
+            digest: hasher.digest128(),
             caller: xxh3_64(caller.as_bytes()),
         }
     }
@@ -55,6 +55,6 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:032x}/{:016x}", self.asked, self.caller)
+        write!(f, "{:032x}/{:016x}", self.digest, self.caller)
     }
 }
--- a/src/model/news.rs
+++ b/src/model/guard_status.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{ClassRank, Level, Percent, Told};
+use super::{ClassRank, Level, Percent, RelayedNotice};
 
 /// A set of classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -20,12 +20,12 @@
     }
 
     /// Returns the ranks that are in both sets.
-    pub const fn both(self, other: Self) -> Self {
+    pub const fn intersection(self, other: Self) -> Self {
         Self(self.0 & other.0)
     }
 
     /// Returns the ranks that are in either set.
-    pub const fn either(self, other: Self) -> Self {
+    pub const fn union(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
@@ -47,20 +47,20 @@
 
 /// What is demanded of calls to a service, by itself and further down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct DemandedLevels {
     /// The level below which it sheds.
     pub level: Level,
     /// The level that services further down demand.
-    pub below: Level,
+    pub downstream: Level,
     /// The classes of which they demand it.
-    pub classes: RankSet,
+    pub downstream_classes: RankSet,
 }
 
-impl Demand {
+impl DemandedLevels {
     /// Returns the level that is demanded of a class.
     pub fn of(&self, rank: ClassRank) -> Level {
-        if self.classes.contains(rank) {
-            self.level.max(self.below)
+        if self.downstream_classes.contains(rank) {
+            self.level.max(self.downstream)
         } else {
             self.level
         }
@@ -69,17 +69,17 @@
 
 /// What a guard tells of itself with each answer and refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GuardNews {
+pub struct GuardStatus {
     /// What is demanded of calls to it.
-    pub demand: Demand,
+    pub demand: DemandedLevels,
     /// Calls in flight at its backend server and waiting.
     pub load: u32,
     /// Calls that its backend server fails by itself.
-    pub faults: Percent,
+    pub fault_share: Percent,
     /// Whether it takes no new calls.
     pub leaving: bool,
     /// What its backend server has said of itself, if anything.
-    pub told: Option<Told>,
+    pub notice: Option<RelayedNotice>,
     /// How long a call waits there for the rate that its server named.
-    pub room: Duration,
+    pub rate_delay: Duration,
 }
--- a/src/model/level.rs
+++ b/src/model/level.rs
@@ -17,7 +17,7 @@
     /// Number of distinct levels.
     pub const COUNT: usize = Self::STEPS * ClassRank::COUNT;
     /// The level that refuses nothing.
-    pub const OPEN: Self = Self(0);
+    pub const ADMIT_ALL: Self = Self(0);
     /// The level that refuses nearly all.
     pub const HIGHEST: Self = Self(Self::COUNT as u16 - 1);
 
--- a/src/model/notice.rs
+++ b/src/model/notice.rs
@@ -7,7 +7,7 @@
 
 /// What an answer says of the requests a second that its server takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NamedRate {
+pub enum RequestedRate {
     /// Nothing.
     #[default]
     None,
@@ -17,7 +17,7 @@
     Unreadable,
 }
 
-impl fmt::Display for NamedRate {
+impl fmt::Display for RequestedRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::None => f.pad("none"),
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
     /// The requests that it takes.
-    pub rate: NamedRate,
+    pub rate: RequestedRate,
     /// Whether it is about to stop.
     pub leaving: bool,
     /// After which time it takes a request that it refused, if it says so.
@@ -44,7 +44,7 @@
 /// An entry that was told tells it back with its calls, so a guard that has
 /// started again beside the run knows it before the first call of any such entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct RelayedNotice {
     /// The run that it is true of.
     pub run: RunId,
     /// The requests a second that it takes, if it named a rate.
--- a/src/model/span.rs
+++ b/src/model/positive_duration.rs
@@ -10,9 +10,9 @@
 
 /// A duration above zero, written with its unit, such as `250ms` or `2s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Span(Duration);
+pub struct PositiveDuration(Duration);
 
-impl Span {
+impl PositiveDuration {
     /// Longest duration that is accepted.
     pub const MAX: Duration = Duration::from_secs(7 * 24 * 3600);
 
@@ -36,7 +36,7 @@
     Duration::try_from_secs_f64(number.parse().ok()?).ok()
 }
 
-impl FromStr for Span {
+impl FromStr for PositiveDuration {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -54,19 +54,19 @@
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for PositiveDuration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         humantime::format_duration(self.0).fmt(f)
     }
 }
 
-impl Serialize for Span {
+impl Serialize for PositiveDuration {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         s.collect_str(self)
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
+impl<'de> Deserialize<'de> for PositiveDuration {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
         text.parse().map_err(serde::de::Error::custom)
--- a/src/model/priority.rs
+++ b/src/model/priority.rs
@@ -95,7 +95,7 @@
     /// Emulated surges over short services of three estates, 14 days: of 100
     /// single calls 85, 86 and 98 are answered within their objective in place
     /// of 43, 71 and 88; of 100 trees of the same class 1 fewer, or none.
-    pub fn single(rank: ClassRank, root: RootId) -> Self {
+    pub fn for_single_call(rank: ClassRank, root: RootId) -> Self {
         let tree = Self::new(rank, Depth(SINGLE_DEPTH), root).0;
         let hash = tree & HASH_MASK;
         Self(tree & !HASH_MASK | SINGLE_HASH | hash >> SINGLE_SHIFT)
--- a/src/model/run_id.rs
+++ b/src/model/run_id.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Born, ServerId};
+use super::{ServerId, ServerStart};
 use crate::error::Error;
 
 /// Tells one run of a backend server from others, also from those that had the
@@ -15,9 +15,9 @@
 
 impl RunId {
     /// Makes the id of a run of `server`, which started at `born` if it tells.
-    pub fn of(server: &ServerId, born: Option<Born>) -> Self {
-        let born = born.map_or(0, Born::as_millis);
-        Self(xxh3_64_with_seed(server.as_str().as_bytes(), born))
+    pub fn of(server: &ServerId, start: Option<ServerStart>) -> Self {
+        let start = start.map_or(0, ServerStart::as_millis);
+        Self(xxh3_64_with_seed(server.as_str().as_bytes(), start))
     }
 
     /// Makes an id of a number that another daemon sent.
--- a/src/model/born.rs
+++ b/src/model/server_start.rs
@@ -9,9 +9,9 @@
 ///
 /// It tells apart runs that have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Born(u64);
+pub struct ServerStart(u64);
 
-impl Born {
+impl ServerStart {
     /// Makes a start of Unix milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
@@ -23,13 +23,13 @@
     }
 }
 
-impl fmt::Display for Born {
+impl fmt::Display for ServerStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-impl FromStr for Born {
+impl FromStr for ServerStart {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
--- a/src/peer/call.rs
+++ b/src/peer/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::call::CallHead;
-use crate::model::{Retries, Told};
+use crate::model::{RelayedNotice, Retries};
 use crate::policy::crash::Suspect;
 use crate::web::Payload;
 
@@ -31,7 +31,7 @@
     /// What is known of crashes that the request was under way at.
     pub suspect: Option<Suspect>,
     /// What this side was told of the backend server that it goes to.
-    pub told: Option<Told>,
+    pub told: Option<RelayedNotice>,
     /// Whether it waits for the rate that the backend server named.
     pub waits: bool,
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -72,7 +72,7 @@
     let answer = match answer {
         Ok(Ok(answer)) => answer.into_inner(),
         Ok(Err(status)) if held => return Err(unstarted(pool, instance, attempt, &status)),
-        Ok(Err(status)) => return Err(failed(pool, instance, attempt.send(), &status)),
+        Ok(Err(status)) => return Err(failed(pool, instance, attempt.mark_sent(), &status)),
         Err(_) => {
             pool.replace(instance.address);
             return Err(unheard(attempt, held));
@@ -82,7 +82,7 @@
         return start(pool, instance, attempt, answer, rest, deadline).await;
     }
     rest.go_on();
-    finish(pool, instance, attempt.send(), answer, deadline).await
+    finish(pool, instance, attempt.mark_sent(), answer, deadline).await
 }
 
 /// Gives up a call of which the guard has not even said that it arrived.
@@ -91,8 +91,8 @@
         return attempt.refuse(Reason::Unreachable, "the guard did not answer in time");
     }
     attempt
-        .send()
-        .lose(Reason::Cut, "the guard did not answer in time")
+        .mark_sent()
+        .abandon(Reason::IncompleteAnswer, "the guard did not answer in time")
 }
 
 /// Waits until the guard can start a held call, and lets it start.
@@ -112,13 +112,15 @@
     };
     match first {
         Some(AnswerPart::Start(_)) => {}
-        Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt.send(), &refusal)),
+        Some(AnswerPart::Refusal(refusal)) => {
+            return Err(refusal_in(attempt.mark_sent(), &refusal));
+        }
         _ => return Err(attempt.refuse(Reason::Unreachable, "the guard did not ask to start")),
     }
     if Instant::now() >= deadline {
         return Err(attempt.refuse(Reason::Shed(Shed::Deadline), "no slot in time"));
     }
-    let attempt = attempt.send();
+    let attempt = attempt.mark_sent();
     rest.start();
     finish(pool, instance, attempt, answer, deadline).await
 }
@@ -131,7 +133,7 @@
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
     match tokio::time::timeout_at(deadline + SLACK, first_frame(answer)).await {
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
         Ok(Err(status)) => Err(failed(pool, instance, attempt, &status)),
         Ok(Ok((frame, rest))) => answered(attempt, frame, rest),
     }
@@ -149,9 +151,9 @@
     key: &OnceKey,
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    let attempt = Attempt::plan().send();
+    let attempt = Attempt::plan().mark_sent();
     let Some(mut client) = pool.fresh(instance.address) else {
-        return Err(attempt.lose(Reason::Unreachable, "no valid address"));
+        return Err(attempt.abandon(Reason::Unreachable, "no valid address"));
     };
     let left = deadline.saturating_duration_since(Instant::now());
     let request = InquireRequest {
@@ -166,8 +168,8 @@
         first_frame(answer.into_inner()).await
     };
     match tokio::time::timeout_at(deadline + SLACK, asked).await {
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
-        Ok(Err(status)) => Err(attempt.lose(Reason::Cut, status.message())),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
+        Ok(Err(status)) => Err(attempt.abandon(Reason::IncompleteAnswer, status.message())),
         Ok(Ok((frame, rest))) => answered(attempt, frame, rest),
     }
 }
@@ -265,10 +267,10 @@
     pool.replace(instance.address);
     if never_connected(status) {
         return attempt
-            .unsent()
+            .revert_sent()
             .refuse(Reason::Unreachable, status.message());
     }
-    attempt.lose(Reason::Cut, status.message())
+    attempt.abandon(Reason::IncompleteAnswer, status.message())
 }
 
 /// Tells whether no connection was made, so that no byte can have left.
@@ -291,15 +293,15 @@
     let head = match part {
         Some(AnswerPart::Head(head)) => head,
         Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt, &refusal)),
-        _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
+        _ => return Err(attempt.abandon(Reason::InvalidAnswer, "the answer has no head")),
     };
     if head.attempt != id_bytes(attempt.id().get()) {
-        return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
+        return Err(attempt.abandon(Reason::InvalidAnswer, "the answer was to another attempt"));
     }
     let streamed = head.streamed;
     let (head, body) = match reply_in(head) {
         Ok(parts) => parts,
-        Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
+        Err(e) => return Err(attempt.abandon(Reason::InvalidAnswer, e.to_string())),
     };
     let body = if streamed {
         let (sender, chunks) = Chunks::channel();
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -12,12 +12,12 @@
 use super::id::{attempt_of, id_bytes, id_of};
 use super::suspect::suspect_out;
 use super::told::{room_in, room_out, told_in, told_out};
-use crate::call::{Attempt, CallHead, OnceCall, Reason, Refusal, ReplyHead, Scope, Sent};
+use crate::call::{Attempt, CallHead, OnceCall, Reason, Refusal, ReplyHead, Sent, VerdictScope};
 use crate::declare::Estate;
 use crate::error::Error;
 use crate::model::{
-    AttemptId, CallId, ClassRank, CrashId, Demand, Depth, Fingerprint, GuardNews, Instance, Level,
-    Percent, Priority, RankSet, Retries, RootId, Verdict, WorkspaceId,
+    AttemptId, CallId, ClassRank, CrashId, DemandedLevels, Depth, Fingerprint, GuardStatus,
+    Instance, Level, Percent, Priority, RankSet, Retries, RootId, Verdict, WorkspaceId,
 };
 use crate::web::Payload;
 
@@ -90,7 +90,7 @@
         single: head.single,
         asked: head
             .fingerprint
-            .map_or(Bytes::new(), |asks| id_bytes(asks.asked)),
+            .map_or(Bytes::new(), |asks| id_bytes(asks.digest)),
         asked_by: head.fingerprint.map_or(0, |asks| asks.caller),
         suspect: message.suspect.as_ref().map(|s| suspect_out(s, now)),
         workspace: head.workspace.map_or(0, WorkspaceId::get),
@@ -119,7 +119,7 @@
     let fingerprint = match head.asked.len() {
         0 => None,
         _ => Some(Fingerprint {
-            asked: id_of(&head.asked)?,
+            digest: id_of(&head.asked)?,
             caller: head.asked_by,
         }),
     };
@@ -138,22 +138,22 @@
         workspace: WorkspaceId::from_raw(head.workspace),
         class,
         priority: if head.single {
-            Priority::single(rank, root)
+            Priority::for_single_call(rank, root)
         } else {
             Priority::new(rank, depth, root)
         },
         depth,
         single: head.single,
         deadline: now + Duration::from_millis(u64::from(head.deadline_ms)),
-        account: Retries::new(head.account),
+        granted_retries: Retries::new(head.account),
         once,
         repeat: head.repeat,
         method,
         target: head.target.into(),
         headers: headers_in(head.headers)?,
         fingerprint,
-        told: head.told.as_ref().map(told_in),
-        waits: head.waits,
+        notice: head.told.as_ref().map(told_in),
+        may_wait: head.waits,
     })
 }
 
@@ -171,17 +171,17 @@
         streamed: body.is_none(),
         body: body.unwrap_or_default(),
         digest,
-        account: head.account.get(),
-        kept: head.kept,
-        level: u32::from(head.news.demand.level.get()),
-        below: u32::from(head.news.demand.below.get()),
-        classes: head.news.demand.classes.bits(),
-        load: head.news.load,
-        faults: u32::from(head.news.faults.get()),
-        leaving: head.news.leaving,
-        onward: head.onward,
-        told: head.news.told.as_ref().map(told_out),
-        room_ms: room_out(head.news.room),
+        account: head.returned_retries.get(),
+        kept: head.from_store,
+        level: u32::from(head.guard_status.demand.level.get()),
+        below: u32::from(head.guard_status.demand.downstream.get()),
+        classes: head.guard_status.demand.downstream_classes.bits(),
+        load: head.guard_status.load,
+        faults: u32::from(head.guard_status.fault_share.get()),
+        leaving: head.guard_status.leaving,
+        onward: head.made_calls,
+        told: head.guard_status.notice.as_ref().map(told_out),
+        room_ms: room_out(head.guard_status.rate_delay),
     }
 }
 
@@ -197,44 +197,44 @@
     let reply = ReplyHead {
         status,
         headers: headers_in(head.headers)?,
-        account: Retries::new(head.account),
-        news: GuardNews {
-            demand: Demand {
+        returned_retries: Retries::new(head.account),
+        guard_status: GuardStatus {
+            demand: DemandedLevels {
                 level: Level::from_raw(head.level),
-                below: Level::from_raw(head.below),
-                classes: RankSet::from_bits(head.classes),
+                downstream: Level::from_raw(head.below),
+                downstream_classes: RankSet::from_bits(head.classes),
             },
             load: head.load,
-            faults: Percent::new(head.faults),
+            fault_share: Percent::new(head.faults),
             leaving: head.leaving,
-            told: head.told.as_ref().map(told_in),
-            room: room_in(head.room_ms),
+            notice: head.told.as_ref().map(told_in),
+            rate_delay: room_in(head.room_ms),
         },
-        onward: head.onward,
-        kept: head.kept,
+        made_calls: head.onward,
+        from_store: head.kept,
     };
     Ok((reply, head.body))
 }
 
 /// Writes a refusal.
 pub(super) fn refusal_out(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
-    let news = refusal.news.unwrap_or_default();
+    let news = refusal.guard_status.unwrap_or_default();
     wire::Refusal {
         attempt: id_bytes(attempt.get()),
         verdict: refusal.verdict().to_string(),
         reason: refusal.reason().to_string(),
         detail: refusal.detail.to_string(),
         retry_after_ms: refusal.retry_after.map_or(0, millis),
-        of_key: refusal.scope() == Scope::Key,
-        account: refusal.account.get(),
+        of_key: refusal.scope() == VerdictScope::Key,
+        account: refusal.returned_retries.get(),
         level: u32::from(news.demand.level.get()),
-        below: u32::from(news.demand.below.get()),
-        classes: news.demand.classes.bits(),
+        below: u32::from(news.demand.downstream.get()),
+        classes: news.demand.downstream_classes.bits(),
         load: news.load,
-        faults: u32::from(news.faults.get()),
+        faults: u32::from(news.fault_share.get()),
         leaving: news.leaving,
-        told: news.told.as_ref().map(told_out),
-        room_ms: room_out(news.room),
+        told: news.notice.as_ref().map(told_out),
+        room_ms: room_out(news.rate_delay),
         crash: refusal.crash.map_or(0, CrashId::get),
     }
 }
@@ -248,30 +248,30 @@
     });
     let (of, verdict, reason) = match parts {
         Ok(parts) => parts,
-        Err(e) => return attempt.lose(Reason::Garbage, e.to_string()),
+        Err(e) => return attempt.abandon(Reason::InvalidAnswer, e.to_string()),
     };
-    let mut refusal = attempt.relay(of, verdict, reason, &message.detail);
+    let mut refusal = attempt.relay_refusal(of, verdict, reason, &message.detail);
     if refusal.reason() == reason {
         if message.of_key {
-            refusal = refusal.of_key();
+            refusal = refusal.with_key_scope();
         }
-        refusal.account = Retries::new(message.account);
+        refusal.returned_retries = Retries::new(message.account);
         refusal.crash = (message.crash != 0).then(|| CrashId::new(message.crash));
         refusal.retry_after = match message.retry_after_ms {
             0 => None,
             ms => Some(Duration::from_millis(u64::from(ms))),
         };
-        refusal.news = Some(GuardNews {
-            demand: Demand {
+        refusal.guard_status = Some(GuardStatus {
+            demand: DemandedLevels {
                 level: Level::from_raw(message.level),
-                below: Level::from_raw(message.below),
-                classes: RankSet::from_bits(message.classes),
+                downstream: Level::from_raw(message.below),
+                downstream_classes: RankSet::from_bits(message.classes),
             },
             load: message.load,
-            faults: Percent::new(message.faults),
+            fault_share: Percent::new(message.faults),
             leaving: message.leaving,
-            told: message.told.as_ref().map(told_in),
-            room: room_in(message.room_ms),
+            notice: message.told.as_ref().map(told_in),
+            rate_delay: room_in(message.room_ms),
         });
     }
     refusal
--- a/src/peer/direct.rs
+++ b/src/peer/direct.rs
@@ -37,22 +37,24 @@
     let whole = join_call(&head, &call.headers, &body);
     drop((head, body));
     let client = pool.plain(instance.address);
-    let attempt = attempt.send();
+    let attempt = attempt.mark_sent();
     match timeout_at(call.deadline + SLACK, client.exchange(whole)).await {
         Ok(Ok((part, payload))) => answered(attempt, part, payload),
         Ok(Err(failed)) => {
             pool.replace(instance.address);
             Err(lost(attempt, failed))
         }
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
     }
 }
 
 fn lost(attempt: Attempt<Sent>, failed: Failed) -> Refusal {
     if failed.connected {
-        attempt.lose(Reason::Cut, failed.cause)
+        attempt.abandon(Reason::IncompleteAnswer, failed.cause)
     } else {
-        attempt.unsent().refuse(Reason::Unreachable, failed.cause)
+        attempt
+            .revert_sent()
+            .refuse(Reason::Unreachable, failed.cause)
     }
 }
 
@@ -64,17 +66,17 @@
     let mut head = match part {
         Some(AnswerPart::Head(head)) => head,
         Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt, &refusal)),
-        _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
+        _ => return Err(attempt.abandon(Reason::InvalidAnswer, "the answer has no head")),
     };
     if head.attempt != id_bytes(attempt.id().get()) {
-        return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
+        return Err(attempt.abandon(Reason::InvalidAnswer, "the answer was to another attempt"));
     }
     if let Payload::Whole(body) = &payload {
         head.body = body.clone();
     }
     let head = match reply_in(head) {
         Ok((head, _)) => head,
-        Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
+        Err(e) => return Err(attempt.abandon(Reason::InvalidAnswer, e.to_string())),
     };
     Ok(Reply {
         head,
--- a/src/peer/served.rs
+++ b/src/peer/served.rs
@@ -121,7 +121,7 @@
             }
             Err(reason) => {
                 let mut refusal = Attempt::with_id(attempt).refuse(reason, "");
-                refusal.account = account;
+                refusal.returned_retries = account;
                 Err(refusal)
             }
         };
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -22,7 +22,7 @@
 use super::measure::Measure;
 use super::news;
 use super::suspect::suspects_in;
-use crate::call::{Attempt, Call, Confirm, Reason, Refusal, Reply, ReplyHead};
+use crate::call::{Attempt, Call, Reason, Refusal, Reply, ReplyHead, StartConfirmation};
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::model::{AttemptId, Instance, MintTime, OnceKey, Retries};
@@ -165,8 +165,8 @@
     questions: mpsc::Sender<Result<wire::AnswerFrame, Status>>,
     mut frames: Streaming<wire::CallFrame>,
     body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
-) -> Confirm {
-    Confirm::new(move || {
+) -> StartConfirmation {
+    StartConfirmation::new(move || {
         Box::pin(async move {
             let question = part(AnswerPart::Start(wire::Start {}));
             if questions.send(Ok(question)).await.is_err() {
@@ -209,7 +209,7 @@
             Ok(head) => head,
             Err(reason) => {
                 let mut refusal = Attempt::with_id(attempt).refuse(reason, "");
-                refusal.account = Retries::new(account);
+                refusal.returned_retries = Retries::new(account);
                 return Ok(answer(attempt, Err(refusal)));
             }
         };
--- a/src/peer/told.rs
+++ b/src/peer/told.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use super::generated as wire;
-use crate::model::{Rate, RunId, Told};
+use crate::model::{Rate, RelayedNotice, RunId};
 
 /// Writes what a backend server has said of itself.
-pub(super) fn told_out(told: &Told) -> wire::Told {
+pub(super) fn told_out(told: &RelayedNotice) -> wire::Told {
     wire::Told {
         run: told.run.get(),
         limited: told.rate.is_some(),
@@ -16,9 +16,9 @@
 }
 
 /// Reads what a backend server has said of itself.
-pub(super) fn told_in(told: &wire::Told) -> Told {
+pub(super) fn told_in(told: &wire::Told) -> RelayedNotice {
     let rate = Rate::from_thousandths(told.rate);
-    Told {
+    RelayedNotice {
         run: RunId::new(told.run),
         rate: told.limited.then_some(rate),
         leaving: told.leaving,
--- a/src/platform/beat.rs
+++ b/src/platform/beat.rs
@@ -11,7 +11,7 @@
 
 use crate::error::Error;
 use crate::guard::Guard;
-use crate::model::{Born, ServerId, ServiceName, Slots};
+use crate::model::{ServerId, ServerStart, ServiceName, Slots};
 use crate::policy::member::{Announcement, AnnouncementEffect, Intent};
 use crate::web::{CallerAnswer, Listening, caller_text, listen};
 
@@ -56,7 +56,7 @@
     fn announcement(&self, server: ServerId) -> Announcement {
         Announcement {
             server,
-            start: self.born.map(Born::from_millis),
+            start: self.born.map(ServerStart::from_millis),
             intent: match self.state {
                 BeatState::Ready => Intent::Serve,
                 BeatState::Draining => Intent::Leave,
@@ -124,10 +124,10 @@
 }
 
 /// Returns which run says goodbye, if its server tells.
-async fn goodbye(body: Incoming) -> Option<Born> {
+async fn goodbye(body: Incoming) -> Option<ServerStart> {
     let body = collect(body).await.ok()?;
     let goodbye: Goodbye = serde_json::from_slice(&body).ok()?;
-    Some(Born::from_millis(goodbye.born))
+    Some(ServerStart::from_millis(goodbye.born))
 }
 
 async fn collect(body: Incoming) -> Result<Bytes, Box<str>> {
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -7,8 +7,8 @@
 use crate::declare::{Class, Estate, Limit, Once, Route, Service, Share, Workspace, Workspaces};
 use crate::error::Error;
 use crate::model::{
-    Bytes, ClassName, ClassRank, Connections, KeyDigest, Rate, Retries, RouteName, ServiceName,
-    Slots, Span, Version, Weight, WorkspaceName,
+    Bytes, ClassName, ClassRank, Connections, KeyDigest, PositiveDuration, Rate, Retries,
+    RouteName, ServiceName, Slots, Version, Weight, WorkspaceName,
 };
 
 /// Slots of a server until it has announced its own.
@@ -20,11 +20,11 @@
 /// that starts second. What all requests use together is bounded elsewhere.
 const RETRIES: Retries = Retries::new(64);
 /// Deadline of a request that matches no route; it is refused anyway.
-const NO_ROUTE_DEADLINE: Span = Span::from_millis(1000);
+const NO_ROUTE_DEADLINE: PositiveDuration = PositiveDuration::from_millis(1000);
 /// How keys would be kept; the platform's callers send none.
 const ONCE: Once = Once {
-    horizon: Span::from_millis(60_000),
-    memory: Span::from_millis(24 * 3600 * 1000),
+    horizon: PositiveDuration::from_millis(60_000),
+    memory: PositiveDuration::from_millis(24 * 3600 * 1000),
     ledger_bytes: Bytes::new(1024 * 1024),
 };
 
@@ -299,11 +299,13 @@
 }
 
 /// Reads a time given in seconds.
-fn span(kind: &'static str, seconds: f64) -> Result<Span, Error> {
+fn span(kind: &'static str, seconds: f64) -> Result<PositiveDuration, Error> {
     if !seconds.is_finite() || seconds <= 0.0 {
         return Err(Error::value(kind, format!("{seconds} must be above 0")));
     }
-    Ok(Span::from_millis((seconds * 1000.0).round().max(1.0) as u64))
+    Ok(PositiveDuration::from_millis(
+        (seconds * 1000.0).round().max(1.0) as u64,
+    ))
 }
 
 fn services(document: &Document, routes: &[Route]) -> BTreeMap<ServiceName, Service> {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,8 +8,11 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::call::{CallHead, Facts, Meaning, Origin, Protocol, Reason, Refusal, end_to_end};
-use crate::model::{CallId, KeyDigest, NamedRate, Notice, Rate, RootId, ServerId, Verdict};
+use crate::call::{
+    AnswerMeaning, CallHead, Protocol, Reason, Refusal, RequestInfo, RequestOrigin,
+    strip_hop_headers,
+};
+use crate::model::{CallId, KeyDigest, Notice, Rate, RequestedRate, RootId, ServerId, Verdict};
 
 /// Identifies one attempt of a caller; servers repeat it in their answers.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -48,14 +51,16 @@
 }
 
 /// Reads the rate that an answer names, the least where it names several.
-fn named_rate(headers: &HeaderMap) -> NamedRate {
+fn named_rate(headers: &HeaderMap) -> RequestedRate {
     if !headers.contains_key(&RATE) {
-        return NamedRate::None;
+        return RequestedRate::None;
     }
     let words = headers.get_all(&RATE).iter();
     let words = words.filter_map(|value| value.to_str().ok());
     let named = words.flat_map(|value| value.split(',')).filter_map(rate);
-    named.min().map_or(NamedRate::Unreadable, NamedRate::Some)
+    named
+        .min()
+        .map_or(RequestedRate::Unreadable, RequestedRate::Some)
 }
 
 /// Reads one rate; a server that names one below zero takes nothing.
@@ -71,13 +76,13 @@
 }
 
 impl Protocol for PlatformProtocol {
-    fn read(&self, parts: &Parts) -> Result<Facts, Box<str>> {
+    fn read_request(&self, parts: &Parts) -> Result<RequestInfo, Box<str>> {
         let text = |name: &HeaderName| parts.headers.get(name)?.to_str().ok();
         let left = text(&TIME_LEFT).and_then(|left| left.trim().parse().ok());
         let id = text(&REQUEST_ID);
         let family = id.and_then(|id| id.rsplit_once(ID_SEPARATOR));
         let root = id.and_then(|id| id.split(ID_SEPARATOR).next());
-        Ok(Facts {
+        Ok(RequestInfo {
             call: id.map_or_else(CallId::random, call_of),
             root: root.map(|root| RootId::new(xxh3_128(root.as_bytes()))),
             parent: family.map(|(parent, _)| call_of(parent)),
@@ -90,13 +95,13 @@
         })
     }
 
-    fn id<'r>(&self, headers: &'r HeaderMap) -> &'r str {
+    fn request_id<'r>(&self, headers: &'r HeaderMap) -> &'r str {
         let id = headers.get(&REQUEST_ID).and_then(|id| id.to_str().ok());
         id.unwrap_or_default()
     }
 
-    fn forward(&self, headers: &HeaderMap, from: Origin<'_>) -> HeaderMap {
-        let mut kept = end_to_end(headers.clone());
+    fn forward_headers(&self, headers: &HeaderMap, from: RequestOrigin<'_>) -> HeaderMap {
+        let mut kept = strip_hop_headers(headers.clone());
         for name in [&TIME_LEFT, &MEANT_FOR, &EXPECT, &KEY, &WORKSPACE] {
             kept.remove(name);
         }
@@ -112,7 +117,7 @@
         kept
     }
 
-    fn address(
+    fn add_attempt(
         &self,
         headers: &mut HeaderMap,
         head: &CallHead,
@@ -127,24 +132,29 @@
         }
     }
 
-    fn meaning(&self, head: &CallHead, status: StatusCode, headers: &HeaderMap) -> Meaning {
+    fn answer_meaning(
+        &self,
+        head: &CallHead,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> AnswerMeaning {
         if headers.get(&REQUEST_ID) != head.headers.get(&REQUEST_ID) {
-            return Meaning::Garbage;
+            return AnswerMeaning::Invalid;
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
             let found = headers.get(&ANSWERED_BY).and_then(|id| id.to_str().ok());
-            return Meaning::OtherServer(found.and_then(|id| id.parse().ok()));
+            return AnswerMeaning::OtherServer(found.and_then(|id| id.parse().ok()));
         }
         if headers.contains_key(&NOT_RUN) {
-            return Meaning::NotRun;
+            return AnswerMeaning::NotRun;
         }
         if !headers.contains_key(&SIGNATURE) {
-            return Meaning::Garbage;
+            return AnswerMeaning::Invalid;
         }
-        Meaning::Answer
+        AnswerMeaning::Answer
     }
 
-    fn notice(&self, headers: &HeaderMap) -> Notice {
+    fn read_notice(&self, headers: &HeaderMap) -> Notice {
         let leaving = headers.get_all(&LEAVING).iter();
         Notice {
             rate: named_rate(headers),
@@ -155,7 +165,7 @@
 
     /// 503 promises that the request has not run and never will, so it is
     /// said of nothing else.
-    fn status(&self, refusal: &Refusal) -> StatusCode {
+    fn refusal_status(&self, refusal: &Refusal) -> StatusCode {
         match (refusal.verdict(), refusal.reason()) {
             (Verdict::MayHaveRun | Verdict::Ran, Reason::Timeout) => StatusCode::GATEWAY_TIMEOUT,
             (Verdict::MayHaveRun | Verdict::Ran, _) => StatusCode::BAD_GATEWAY,
@@ -163,16 +173,18 @@
             (Verdict::NotRun, Reason::UnknownKey) => StatusCode::UNAUTHORIZED,
             (Verdict::NotRun, Reason::OverRate) => StatusCode::TOO_MANY_REQUESTS,
             (Verdict::NotRun, Reason::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-            (Verdict::NotRun, Reason::BadRequest | Reason::RequestCut) => StatusCode::BAD_REQUEST,
+            (Verdict::NotRun, Reason::BadRequest | Reason::IncompleteRequest) => {
+                StatusCode::BAD_REQUEST
+            }
             (Verdict::NotRun, _) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
-    fn retry_after(&self, time: Duration) -> String {
+    fn format_retry_after(&self, time: Duration) -> String {
         format!("{:.3}", time.as_secs_f64())
     }
 
-    fn sign(&self, headers: &mut HeaderMap, _: CallId, request: &HeaderMap) {
+    fn add_call_id(&self, headers: &mut HeaderMap, _: CallId, request: &HeaderMap) {
         if let Some(id) = request.get(&REQUEST_ID) {
             headers.insert(REQUEST_ID, id.clone());
         }
--- a/src/policy/admission/downstream.rs
+++ b/src/policy/admission/downstream.rs
@@ -6,7 +6,7 @@
 
 use super::LastLevel;
 use super::class_shares::ClassShares;
-use crate::model::{ClassRank, Demand, Level, RankSet, ServiceName};
+use crate::model::{ClassRank, DemandedLevels, Level, RankSet, ServiceName};
 
 /// The outcome of an onward call to another service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// The service.
     pub service: ServiceName,
     /// The levels that the service demands at present.
-    pub demand: Demand,
+    pub demand: DemandedLevels,
     /// Whether the service refused the call.
     pub refused: bool,
     /// Whether the call failed, by refusal or otherwise.
@@ -91,8 +91,8 @@
 impl ServiceLevels {
     fn record(&mut self, now: Instant, rank: ClassRank, outcome: &OnwardOutcome, answered: bool) {
         self.level.record(now, outcome.demand.level);
-        self.downstream.record(now, outcome.demand.below);
-        self.classes = outcome.demand.classes;
+        self.downstream.record(now, outcome.demand.downstream);
+        self.classes = outcome.demand.downstream_classes;
         if outcome.refused {
             self.needed_by.set(rank, !answered);
         }
@@ -100,7 +100,7 @@
 
     fn level(&self, now: Instant, rank: ClassRank, protected: bool) -> Level {
         if !self.dependents().contains(rank) {
-            return Level::OPEN;
+            return Level::ADMIT_ALL;
         }
         let own = self.level.level(now, protected);
         if self.classes.contains(rank) {
@@ -112,7 +112,7 @@
 
     /// Returns the classes that depend on the service.
     fn dependents(&self) -> RankSet {
-        self.needed_by.both(self.callers.frequent())
+        self.needed_by.intersection(self.callers.frequent())
     }
 
     fn highest(&self, now: Instant) -> (Level, RankSet) {
@@ -120,7 +120,7 @@
         let own = self.level.level(now, false);
         let downstream = self.downstream.level(now, false);
         if downstream > own {
-            (downstream, dependents.both(self.classes))
+            (downstream, dependents.intersection(self.classes))
         } else {
             (own, dependents)
         }
--- a/src/policy/admission/last_level.rs
+++ b/src/policy/admission/last_level.rs
@@ -37,14 +37,14 @@
     /// admitted again.
     pub fn level(&self, now: Instant, protected: bool) -> Level {
         let Some((level, at)) = self.last else {
-            return Level::OPEN;
+            return Level::ADMIT_ALL;
         };
         let age = now.saturating_duration_since(at);
         if age <= FRESH_TIME {
             return level;
         }
         if protected {
-            return Level::OPEN;
+            return Level::ADMIT_ALL;
         }
         let classes = (age - FRESH_TIME).as_secs_f64() / CLASS_DECAY_TIME.as_secs_f64();
         let fallen = classes * Level::STEPS as f64;
--- a/src/policy/admission/rate_limited.rs
+++ b/src/policy/admission/rate_limited.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::{Admission, Decision, Event, QueuedCall, Shed};
-use crate::model::{NamedRate, Rate};
+use crate::model::{Rate, RequestedRate};
 
 /// Calls of unprotected classes wait for one part in this many of their time left.
 /// Callers' latency objectives are a third to a fifth of their timeout, and a retry
@@ -29,7 +29,7 @@
 impl Admission {
     /// Records the rate in the answer to a call that was sent at `sent`; returns
     /// whether the rate in force changes.
-    pub fn record_rate(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
+    pub fn record_rate(&mut self, now: Instant, sent: Instant, rate: RequestedRate) -> bool {
         self.throttle.record(now, sent, rate)
     }
 
--- a/src/policy/admission/report.rs
+++ b/src/policy/admission/report.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::{Admission, GuardLoad};
-use crate::model::{Demand, GuardNews};
+use crate::model::{DemandedLevels, GuardStatus};
 
 /// Mean `Retry-After` while demand doesn't exceed capacity.
 const RETRY_BASE: Duration = Duration::from_secs(1);
@@ -51,20 +51,20 @@
     }
 
     /// Returns the guard's status for answers to carry.
-    pub fn status(&self, now: Instant) -> GuardNews {
+    pub fn status(&self, now: Instant) -> GuardStatus {
         let (below, classes) = self.downstream.highest(now);
         let load = self.running.len() + self.queue.len();
-        GuardNews {
-            demand: Demand {
+        GuardStatus {
+            demand: DemandedLevels {
                 level: self.threshold.level(),
-                below,
-                classes,
+                downstream: below,
+                downstream_classes: classes,
             },
             load: u32::try_from(load).unwrap_or(u32::MAX),
-            faults: self.fault_rate.share(),
+            fault_share: self.fault_rate.share(),
             leaving: self.leaving,
-            told: None,
-            room: self.rate_delay(now),
+            notice: None,
+            rate_delay: self.rate_delay(now),
         }
     }
 
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -71,7 +71,7 @@
     /// Creates a threshold that admits everything.
     pub fn new(now: Instant) -> Self {
         Self {
-            level: Level::OPEN,
+            level: Level::ADMIT_ALL,
             arrivals: BTreeMap::new(),
             window_weight: 0.0,
             arrival_count: 0,
@@ -122,7 +122,7 @@
             return;
         }
         self.window_weight = self.window_weight * COUNT_DECAY + 1.0;
-        if self.level > Level::OPEN || self.shed_count > 0 {
+        if self.level > Level::ADMIT_ALL || self.shed_count > 0 {
             self.adjust(backlog);
         }
         let capacity = f64::from(self.start_count.max(1));
@@ -195,6 +195,6 @@
                 return Level::from_raw(*index as u32 + 1);
             }
         }
-        Level::OPEN
+        Level::ADMIT_ALL
     }
 }
--- a/src/policy/admission/throttle.rs
+++ b/src/policy/admission/throttle.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::model::{NamedRate, Rate};
+use crate::model::{Rate, RequestedRate};
 
 /// Size of a burst after a pause, as time at the requested rate; callers arrive in
 /// clusters.
@@ -49,16 +49,18 @@
     /// whether the rate in force changes.
     ///
     /// An unreadable rate is ignored.
-    pub fn record(&mut self, now: Instant, sent: Instant, rate: NamedRate) -> bool {
-        self.has_report |= rate != NamedRate::Unreadable;
+    pub fn record(&mut self, now: Instant, sent: Instant, rate: RequestedRate) -> bool {
+        self.has_report |= rate != RequestedRate::Unreadable;
         let is_newer = self.state.is_none_or(|state| sent >= state.reported_at);
         match (rate, self.rate()) {
-            (NamedRate::Some(rate), None) => self.set_rate(now, rate),
-            (NamedRate::Some(rate), Some(last)) if rate < last || rate > last && is_newer => {
+            (RequestedRate::Some(rate), None) => self.set_rate(now, rate),
+            (RequestedRate::Some(rate), Some(last)) if rate < last || rate > last && is_newer => {
                 self.set_rate(now, rate);
             }
-            (NamedRate::None, Some(_)) if is_newer => self.state = None,
-            (NamedRate::Some(_) | NamedRate::None | NamedRate::Unreadable, _) => return false,
+            (RequestedRate::None, Some(_)) if is_newer => self.state = None,
+            (RequestedRate::Some(_) | RequestedRate::None | RequestedRate::Unreadable, _) => {
+                return false;
+            }
         }
         true
     }
--- a/src/policy/crash/suspects.rs
+++ b/src/policy/crash/suspects.rs
@@ -32,7 +32,7 @@
 
     /// Returns the restriction for a request.
     pub fn restriction(&self, now: Instant, request: Fingerprint) -> RunRestriction {
-        match self.suspects.get(&request.asked) {
+        match self.suspects.get(&request.digest) {
             Some((suspect, _)) => {
                 suspect.restriction(now, request, self.is_only_candidate(now, suspect))
             }
@@ -56,7 +56,7 @@
             crash,
             caller: request.caller,
         };
-        let mut suspect = self.get_or_new(now, request.asked);
+        let mut suspect = self.get_or_new(now, request.digest);
         let is_new = suspect.add_record(now, record);
         self.store(suspect, is_new);
         is_new
@@ -65,10 +65,10 @@
     /// Records that a server answered a request; returns whether that is new of a
     /// suspect.
     pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
-        if !self.suspects.contains_key(&request.asked) {
+        if !self.suspects.contains_key(&request.digest) {
             return false;
         }
-        let mut suspect = self.get_or_new(now, request.asked);
+        let mut suspect = self.get_or_new(now, request.digest);
         let is_new = suspect.add_answer(request.caller);
         self.store(suspect, is_new);
         is_new
--- a/src/policy/front/unreachable.rs
+++ b/src/policy/front/unreachable.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::model::{Demand, Level, RankSet};
+use crate::model::{DemandedLevels, Level, RankSet};
 use crate::policy::route::{Table, TargetState};
 
 /// Demand of a service that cannot be reached: it sheds all classes.
@@ -12,10 +12,10 @@
 /// It is sent up the chain like that of an overloaded service and ages like it,
 /// so the front refuses call trees that would fail and lets some through again a
 /// few times a second, the most important first.
-pub const UNREACHABLE_DEMAND: Demand = Demand {
+pub const UNREACHABLE_DEMAND: DemandedLevels = DemandedLevels {
     level: Level::HIGHEST,
-    below: Level::OPEN,
-    classes: RankSet::from_bits(0),
+    downstream: Level::ADMIT_ALL,
+    downstream_classes: RankSet::from_bits(0),
 };
 
 /// Returns whether a call that could not reach a server has none left to try:
--- a/src/policy/member/presence.rs
+++ b/src/policy/member/presence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::model::{Born, RunId, ServerId, Slots};
+use crate::model::{RunId, ServerId, ServerStart, Slots};
 
 /// Number of ended runs to remember, so that late announcements of them are
 /// recognized as stale. A VM sees a few runs a day.
@@ -23,7 +23,7 @@
     /// The server that sent it.
     pub server: ServerId,
     /// When this run started, if announced; a server may restart under its id.
-    pub start: Option<Born>,
+    pub start: Option<ServerStart>,
     /// Whether it accepts calls.
     pub intent: Intent,
     /// Number of concurrent calls.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Run {
     server: ServerId,
-    start: Option<Born>,
+    start: Option<ServerStart>,
 }
 
 impl Run {
@@ -164,7 +164,7 @@
 
     /// Records that a server has departed, with the start of its run if known;
     /// returns whether it was the present run.
-    pub fn record_departure(&mut self, server: &ServerId, start: Option<Born>) -> bool {
+    pub fn record_departure(&mut self, server: &ServerId, start: Option<ServerStart>) -> bool {
         let departed = Run {
             server: server.clone(),
             start,
--- a/src/policy/route/pick.rs
+++ b/src/policy/route/pick.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 use super::{Ejector, Target, TargetState, latency};
-use crate::model::{Demand, Instance, Level, RankSet};
+use crate::model::{DemandedLevels, Instance, Level, RankSet};
 
 /// Load of the own data centre from which others are considered.
 const SPILL_LOAD: f64 = 0.9;
@@ -83,7 +83,7 @@
 /// out: with many VMs an entry gets answers from only a few of its targets at any
 /// moment, and counting the others as open would admit several times what can be
 /// served.
-pub(super) fn demand(now: Instant, targets: &[Target], protected: bool) -> Demand {
+pub(super) fn demand(now: Instant, targets: &[Target], protected: bool) -> DemandedLevels {
     let serving = || targets.iter().filter(|t| t.state == TargetState::Serving);
     let fresh = serving().filter(|target| target.has_fresh_level(now));
     mean_demand(now, fresh, protected).unwrap_or_else(|| {
@@ -111,7 +111,7 @@
     now: Instant,
     targets: impl Iterator<Item = &'t Target>,
     protected: bool,
-) -> Option<Demand> {
+) -> Option<DemandedLevels> {
     let mut level = 0;
     let mut below = 0;
     let mut classes = RankSet::default();
@@ -119,14 +119,14 @@
     for target in targets.take(DEMAND_SAMPLE_SIZE) {
         let demand = target.demand(now, protected);
         level += u32::from(demand.level.get());
-        below += u32::from(demand.below.get());
-        classes = classes.either(demand.classes);
+        below += u32::from(demand.downstream.get());
+        classes = classes.union(demand.downstream_classes);
         count += 1;
     }
-    Some(Demand {
+    Some(DemandedLevels {
         level: Level::from_raw(level.checked_div(count)?),
-        below: Level::from_raw(below.checked_div(count)?),
-        classes,
+        downstream: Level::from_raw(below.checked_div(count)?),
+        downstream_classes: classes,
     })
 }
 
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -9,7 +9,7 @@
 use super::kind_means::KindMeans;
 use super::pick::{CallNeeds, PickInput, demand, pick};
 use super::{CallKind, CallTime, Ejector, Pick, Target, TargetState};
-use crate::model::{CentreName, ClassRank, Demand, GuardNews, Instance};
+use crate::model::{CentreName, ClassRank, DemandedLevels, GuardStatus, Instance};
 use crate::policy::admission::ClassShares;
 use crate::policy::retry::RetryBudget;
 
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReport {
     /// The guard answered or refused the call and sent its status.
-    Responded(GuardNews),
+    Responded(GuardStatus),
     /// The backend server refused the call, and its guard sent its status.
-    Rejected(GuardNews),
+    Rejected(GuardStatus),
     /// The connection failed, stopped responding or returned invalid data.
     Failed,
     /// The daemon cannot be reached at all.
@@ -285,7 +285,7 @@
 
     /// Returns what the service demands of calls now, in the own data centre
     /// if it has servers there.
-    pub fn demand(&self, now: Instant) -> Demand {
+    pub fn demand(&self, now: Instant) -> DemandedLevels {
         let targets = if self.near.is_empty() {
             &self.far
         } else {
--- a/src/policy/route/target.rs
+++ b/src/policy/route/target.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::LatencyRatio;
-use crate::model::{CentreName, Demand, GuardNews, Instance, RankSet, Slots};
+use crate::model::{CentreName, DemandedLevels, GuardStatus, Instance, RankSet, Slots};
 use crate::policy::admission::LastLevel;
 
 /// Time after a status in which a guard counts as reachable. Even an idle guard
@@ -104,14 +104,14 @@
     }
 
     /// Records the status that its guard sent with an answer.
-    pub fn record_status(&mut self, now: Instant, status: GuardNews) {
+    pub fn record_status(&mut self, now: Instant, status: GuardStatus) {
         self.load = Some((status.load, now));
         self.level.record(now, status.demand.level);
-        self.downstream.record(now, status.demand.below);
-        self.classes = status.demand.classes;
-        self.faults = Some((status.faults.share(), now));
-        let rate = status.told.and_then(|told| told.rate);
-        self.available_at = rate.map(|_| now + status.room);
+        self.downstream.record(now, status.demand.downstream);
+        self.classes = status.demand.downstream_classes;
+        self.faults = Some((status.fault_share.share(), now));
+        let rate = status.notice.and_then(|told| told.rate);
+        self.available_at = rate.map(|_| now + status.rate_delay);
         if status.leaving {
             self.state = TargetState::Leaving;
         }
@@ -170,11 +170,11 @@
 
     /// Returns what it demands of calls, as last known; for protected classes
     /// only fresh levels count.
-    pub fn demand(&self, now: Instant, protected: bool) -> Demand {
-        Demand {
+    pub fn demand(&self, now: Instant, protected: bool) -> DemandedLevels {
+        DemandedLevels {
             level: self.level.level(now, protected),
-            below: self.downstream.level(now, protected),
-            classes: self.classes,
+            downstream: self.downstream.level(now, protected),
+            downstream_classes: self.classes,
         }
     }
 
--- a/src/tables/calls.rs
+++ b/src/tables/calls.rs
@@ -48,7 +48,7 @@
             depth: head.depth,
             deadline: head.deadline,
             once: head.once.as_ref().map(|once| once.key.clone()),
-            account: Mutex::new(RetryAccount::new(head.account)),
+            account: Mutex::new(RetryAccount::new(head.granted_retries)),
             met: Mutex::default(),
         }
     }
--- a/src/tables/notices.rs
+++ b/src/tables/notices.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::model::Told;
+use crate::model::RelayedNotice;
 
 /// Most servers that are remembered; the one heard of longest ago goes first.
 const MAX_KNOWN: usize = 1024;
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Notice {
-    told: Told,
+    told: RelayedNotice,
     at: Instant,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes what the guard at `address` told of its server.
-    pub fn hear(&self, address: SocketAddr, told: Told) {
+    pub fn hear(&self, address: SocketAddr, told: RelayedNotice) {
         let mut by_vm = self.by_vm.lock();
         let known = by_vm.get(&address).map(|known| known.told);
         let same = known.filter(|known| known.run == told.run);
@@ -50,12 +50,12 @@
         if known.is_none() && by_vm.len() >= MAX_KNOWN {
             remove_oldest(&mut by_vm);
         }
-        let (told, at) = (Told { leaving, ..told }, Instant::now());
+        let (told, at) = (RelayedNotice { leaving, ..told }, Instant::now());
         by_vm.insert(address, Notice { told, at });
     }
 
     /// Returns what the server on the VM of `address` has said of itself.
-    pub fn of(&self, address: SocketAddr) -> Option<Told> {
+    pub fn of(&self, address: SocketAddr) -> Option<RelayedNotice> {
         let by_vm = self.by_vm.lock();
         let known = by_vm.get(&address)?;
         (known.at.elapsed() < KEPT).then_some(known.told)
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -144,7 +144,7 @@
     /// Returns what is known of a request.
     pub fn get(&self, request: Fingerprint) -> Option<Suspect> {
         let known = self.known.lock();
-        known.get(Instant::now(), request.asked).cloned()
+        known.get(Instant::now(), request.digest).cloned()
     }
 
     /// Returns what changed after `since`, and the count of changes.
@@ -175,7 +175,7 @@
         let before = known.restriction(now, request);
         let new = change(&mut known, now);
         let after = known.restriction(now, request);
-        let suspect = known.get(now, request.asked);
+        let suspect = known.get(now, request.digest);
         let crashes = suspect.map_or(0, Suspect::crash_count);
         if new {
             self.look(suspect);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use bramleymount::model::{ClassRank, Demand, Depth, Level, Priority, RootId, Slots};
+use bramleymount::model::{ClassRank, DemandedLevels, Depth, Level, Priority, RootId, Slots};
 use bramleymount::policy::admission::{
     Admission, Backlog, CallToken, ConcurrencyLimit, Decision, DownstreamLevels, Event, LastLevel,
     OnwardOutcome, Outcome, QueuedCall, Settings, Shed, Threshold,
@@ -169,7 +169,7 @@
     let closed = threshold.level();
     assert_eq!(closed.rank(), ClassRank::new(2), "{closed}");
     (0..40).for_each(|_| window(&mut threshold, 10, false));
-    assert_eq!(threshold.level(), Level::OPEN);
+    assert_eq!(threshold.level(), Level::ADMIT_ALL);
 }
 
 /// A level that is not updated by answers falls with age.
@@ -199,9 +199,9 @@
     let level = Level::new(alert, u16::MAX / 2);
     let refused = [OnwardOutcome {
         service: "abonnent".parse().expect("a name"),
-        demand: Demand {
+        demand: DemandedLevels {
             level,
-            ..Demand::default()
+            ..DemandedLevels::default()
         },
         refused: true,
         failed: true,
@@ -213,7 +213,7 @@
         downstream.record(now, upload, outcomes, !orphan);
     }
     assert_eq!(downstream.level(now, alert, false), level);
-    assert_eq!(downstream.level(now, upload, false), Level::OPEN);
+    assert_eq!(downstream.level(now, upload, false), Level::ADMIT_ALL);
     let (highest, classes) = downstream.highest(now);
     assert_eq!(highest, level);
     assert!(classes.contains(alert) && !classes.contains(upload));
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -46,7 +46,7 @@
                 all[call_count % daemons].record_call(now);
             }
             for allowance in &mut all {
-                while allowance.try_take(now, Level::OPEN, RootId::random()) {
+                while allowance.try_take(now, Level::ADMIT_ALL, RootId::random()) {
                     counts.retries[step] += 1;
                 }
             }
@@ -192,7 +192,8 @@
         for _ in 0..5 {
             allowance.record_call(now);
             let refused = rng.random_bool(0.08);
-            denied += u32::from(refused && !allowance.try_take(now, Level::OPEN, RootId::random()));
+            denied +=
+                u32::from(refused && !allowance.try_take(now, Level::ADMIT_ALL, RootId::random()));
         }
     }
     assert!(denied < 100, "{denied} of 800 retries denied");
--- a/tests/declare.rs
+++ b/tests/declare.rs
@@ -6,7 +6,7 @@
 
 use bramleymount::config::Config;
 use bramleymount::declare::{diff, join, load, split};
-use bramleymount::model::{Percent, Span};
+use bramleymount::model::{Percent, PositiveDuration};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -208,8 +208,8 @@
 #[case::no_unit("2.5", None)]
 #[case::not_a_number("NaN.s", None)]
 fn span_parse(#[case] text: &str, #[case] millis: Option<u64>) {
-    let span = text.parse::<Span>().ok();
-    assert_eq!(span, millis.map(Span::from_millis));
+    let span = text.parse::<PositiveDuration>().ok();
+    assert_eq!(span, millis.map(PositiveDuration::from_millis));
 }
 
 #[rstest]
@@ -240,7 +240,7 @@
     fn wire_ids_never_panic(text in ".{0,80}") {
         let _ = text.parse::<bramleymount::model::Instance>();
         let _ = text.parse::<bramleymount::model::CallId>();
-        let _ = text.parse::<bramleymount::model::Span>();
+        let _ = text.parse::<bramleymount::model::PositiveDuration>();
         let _ = text.parse::<bramleymount::call::Reason>();
     }
 }
--- a/tests/fault_matrix/world/entry.rs
+++ b/tests/fault_matrix/world/entry.rs
@@ -20,7 +20,7 @@
         self.nodes[n].pending.insert(
             id,
             PendingAttempt {
-                attempt: attempt.send(),
+                attempt: attempt.mark_sent(),
                 caller,
                 first,
             },
@@ -77,7 +77,7 @@
             Destination::Refused(refuse) => {
                 let refusal = Attempt::plan().refuse_once(refuse);
                 Err(if fresh && refuse == OnceRefusal::NotOwned {
-                    refusal.of_key()
+                    refusal.with_key_scope()
                 } else {
                     refusal
                 })
@@ -87,8 +87,8 @@
 
     /// Delivers a refusal to a caller, with the verdict weakened as the entry does.
     pub(super) fn refuse(&mut self, caller: usize, first: bool, refusal: Refusal) {
-        let unsure = !first && refusal.scope() == Scope::Attempt;
-        let refusal = refusal.after(if unsure {
+        let unsure = !first && refusal.scope() == VerdictScope::Attempt;
+        let refusal = refusal.with_earlier(if unsure {
             Verdict::MayHaveRun
         } else {
             Verdict::NotRun
@@ -104,11 +104,11 @@
         match result {
             Ok(answer) => self.deliver(out.caller, &Ok(answer)),
             Err(r) => {
-                let mut relayed = out
-                    .attempt
-                    .relay(attempt, r.verdict(), r.reason(), &r.detail);
-                if r.scope() == Scope::Key {
-                    relayed = relayed.of_key();
+                let mut relayed =
+                    out.attempt
+                        .relay_refusal(attempt, r.verdict(), r.reason(), &r.detail);
+                if r.scope() == VerdictScope::Key {
+                    relayed = relayed.with_key_scope();
                 }
                 self.refuse(out.caller, out.first, relayed);
             }
@@ -118,7 +118,7 @@
     pub(super) fn timeout(&mut self, at: Instance, attempt: AttemptId) {
         let Some(n) = self.live_node(at) else { return };
         if let Some(out) = self.nodes[n].pending.remove(&attempt) {
-            let refusal = out.attempt.lose(Reason::Timeout, "");
+            let refusal = out.attempt.abandon(Reason::Timeout, "");
             self.refuse(out.caller, out.first, refusal);
         }
     }
--- a/tests/fault_matrix/world/guard.rs
+++ b/tests/fault_matrix/world/guard.rs
@@ -93,7 +93,7 @@
             self.nodes[n].ledger.release(key);
             let refusal = Attempt::plan()
                 .refuse(Reason::Shed(Shed::Overload), "")
-                .of_key();
+                .with_key_scope();
             return self.answer_all(at, key, &Err(refusal));
         }
         self.schedule(
--- a/tests/fault_matrix/world/mod.rs
+++ b/tests/fault_matrix/world/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bramleymount::call::{Attempt, Reason, Refusal, Scope, Sent};
+use bramleymount::call::{Attempt, Reason, Refusal, Sent, VerdictScope};
 use bramleymount::model::{
     AttemptId, Instance, MintTime, OnceKey, ServiceName, StartStamp, Verdict, Version,
 };
--- a/tests/front/main.rs
+++ b/tests/front/main.rs
@@ -14,7 +14,8 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Demand, Depth, Instance, Level, Priority, RootId, Slots, StartStamp,
+    CentreName, ClassRank, DemandedLevels, Depth, Instance, Level, Priority, RootId, Slots,
+    StartStamp,
 };
 use bramleymount::policy::admission::{DownstreamLevels, OnwardOutcome};
 use bramleymount::policy::front::{
@@ -316,7 +317,12 @@
 }
 
 /// Returns downstream levels after a call that did not reach its service.
-fn levels_after(now: Instant, rank: ClassRank, demand: Demand, refused: bool) -> DownstreamLevels {
+fn levels_after(
+    now: Instant,
+    rank: ClassRank,
+    demand: DemandedLevels,
+    refused: bool,
+) -> DownstreamLevels {
     let mut levels = DownstreamLevels::default();
     let outcome = OnwardOutcome {
         service: "last".parse().expect("a name"),
@@ -336,7 +342,7 @@
     let now = Instant::now();
     let rank = ClassRank::new(RANK);
     let tree = Priority::new(rank, Depth::default(), RootId::new(7)).level();
-    let before = levels_after(now, rank, Demand::default(), false);
+    let before = levels_after(now, rank, DemandedLevels::default(), false);
     assert!(tree >= before.level(now, rank, false), "admitted before");
     let levels = levels_after(now, rank, UNREACHABLE_DEMAND, true);
     assert!(tree < levels.level(now, rank, false), "refused at once");
@@ -346,7 +352,7 @@
     let other = ClassRank::new(RANK + 1);
     assert_eq!(
         levels.level(now, other, false),
-        Level::OPEN,
+        Level::ADMIT_ALL,
         "does not call it"
     );
 }
--- a/tests/front/world.rs
+++ b/tests/front/world.rs
@@ -114,7 +114,7 @@
             start,
             rng: StdRng::seed_from_u64(11),
             admission,
-            level: Level::OPEN,
+            level: Level::ADMIT_ALL,
             detector: RetryDetector::new(start),
             admitted: AdmittedShare::default(),
             calls: HashMap::new(),
--- a/tests/limited_admission.rs
+++ b/tests/limited_admission.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use bramleymount::model::{ClassRank, Depth, Level, NamedRate, Priority, Rate, RootId, Slots};
+use bramleymount::model::{ClassRank, Depth, Level, Priority, Rate, RequestedRate, RootId, Slots};
 use bramleymount::policy::admission::{
     Admission, CallToken, Decision, Event, Outcome, QueuedCall, Settings, Shed,
 };
@@ -40,7 +40,7 @@
         protected: Some(ClassRank::new(0)),
     };
     let mut guard = Admission::new(now, settings);
-    let rate = NamedRate::Some(Rate::per_second(10.0));
+    let rate = RequestedRate::Some(Rate::per_second(10.0));
     assert!(guard.record_rate(now, now, rate));
     guard
 }
--- a/tests/limited_targets.rs
+++ b/tests/limited_targets.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Demand, GuardNews, Instance, Level, Rate, RunId, Slots, StartStamp, Told,
+    CentreName, ClassRank, DemandedLevels, GuardStatus, Instance, Level, Rate, RelayedNotice,
+    RunId, Slots, StartStamp,
 };
 use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::SeedableRng;
@@ -44,18 +45,18 @@
 }
 
 fn report_rate(table: &mut Table, now: Instant, n: u16, delay_ms: u64, level: Level) {
-    let status = GuardNews {
-        demand: Demand {
+    let status = GuardStatus {
+        demand: DemandedLevels {
             level,
-            ..Demand::default()
+            ..DemandedLevels::default()
         },
-        told: Some(Told {
+        notice: Some(RelayedNotice {
             run: RunId::new(u64::from(n)),
             rate: Some(Rate::per_second(5.0)),
             leaving: false,
         }),
-        room: Duration::from_millis(delay_ms),
-        ..GuardNews::default()
+        rate_delay: Duration::from_millis(delay_ms),
+        ..GuardStatus::default()
     };
     table.record_sent(instance(n));
     table.report(now, instance(n), AttemptReport::Responded(status));
@@ -65,7 +66,7 @@
 fn choose_skips_targets_without_rate_capacity() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    report_rate(&mut table, now, 1, 200, Level::OPEN);
+    report_rate(&mut table, now, 1, 200, Level::ADMIT_ALL);
     for _ in 0..50 {
         let picked = table.choose(now, needs(), &mut rng);
         assert!(
@@ -73,7 +74,7 @@
             "{picked:?}"
         );
     }
-    report_rate(&mut table, now, 2, 200, Level::OPEN);
+    report_rate(&mut table, now, 2, 200, Level::ADMIT_ALL);
     let picked = table.choose(now, needs(), &mut rng);
     assert_eq!(picked, Pick::Target(instance(3)));
 }
@@ -82,7 +83,7 @@
 fn choose_uses_a_target_again_after_its_rate_delay() {
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
-    report_rate(&mut table, now, 1, 200, Level::OPEN);
+    report_rate(&mut table, now, 1, 200, Level::ADMIT_ALL);
     let later = now + Duration::from_millis(200);
     let picked: Vec<_> = (0..50)
         .map(|_| table.choose(later, needs(), &mut rng))
@@ -95,7 +96,7 @@
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     for (n, delay) in [(1, 300), (2, 100), (3, 200)] {
-        report_rate(&mut table, now, n, delay, Level::OPEN);
+        report_rate(&mut table, now, n, delay, Level::ADMIT_ALL);
     }
     assert_eq!(
         table.choose(now, needs(), &mut rng),
@@ -122,12 +123,12 @@
 fn record_status_ends_the_wait_where_the_server_sets_no_rate() {
     let (mut table, now) = (table(), Instant::now());
     for n in [1, 2, 3] {
-        report_rate(&mut table, now, n, 300, Level::OPEN);
+        report_rate(&mut table, now, n, 300, Level::ADMIT_ALL);
     }
     table.report(
         now,
         instance(2),
-        AttemptReport::Responded(GuardNews::default()),
+        AttemptReport::Responded(GuardStatus::default()),
     );
     assert_eq!(table.rate_delay(now), None);
 }
@@ -137,7 +138,7 @@
     let (mut table, now) = (table(), Instant::now());
     let mut rng = StdRng::seed_from_u64(1);
     for (n, delay) in [(1, 300), (2, 100), (3, 200)] {
-        report_rate(&mut table, now, n, delay, Level::OPEN);
+        report_rate(&mut table, now, n, delay, Level::ADMIT_ALL);
     }
     table.record_sent(instance(2));
     table.report(now, instance(2), AttemptReport::Unreachable);
--- a/tests/limited_trees.rs
+++ b/tests/limited_trees.rs
@@ -11,8 +11,8 @@
 
 use bramleymount::call::Reason;
 use bramleymount::model::{
-    ClassRank, Depth, GuardNews, Instance, NamedRate, Priority, Rate, RootId, RunId, Slots,
-    StartStamp, Told,
+    ClassRank, Depth, GuardStatus, Instance, Priority, Rate, RelayedNotice, RequestedRate, RootId,
+    RunId, Slots, StartStamp,
 };
 use bramleymount::policy::admission::{
     Admission, CallToken, Decision, Event, OnwardOutcome, Outcome, QueuedCall, Settings, Shed,
@@ -49,10 +49,10 @@
 
 /// Sends a guard that is limited to ten calls a second a hundred calls a second of a
 /// low class, and returns its status afterwards.
-fn overload(now: &mut Instant) -> GuardNews {
+fn overload(now: &mut Instant) -> GuardStatus {
     let mut last_guard = guard(*now);
     let rate = Rate::per_second(10.0);
-    last_guard.record_rate(*now, *now, NamedRate::Some(rate));
+    last_guard.record_rate(*now, *now, RequestedRate::Some(rate));
     for token in 0..300 {
         *now += CALL_INTERVAL;
         let (decision, mut events) = last_guard.arrive(*now, call(token, LOW, *now));
@@ -67,8 +67,8 @@
         }
     }
     let run = RunId::new(1);
-    GuardNews {
-        told: Some(Told {
+    GuardStatus {
+        notice: Some(RelayedNotice {
             run,
             rate: Some(rate),
             leaving: false,
@@ -79,7 +79,7 @@
 
 /// The route table of the entry beside an upstream server, which has the status of both
 /// servers of the last service.
-fn entry(now: Instant, news: GuardNews) -> Table {
+fn entry(now: Instant, news: GuardStatus) -> Table {
     let instance = |n| {
         let address = SocketAddr::from(([10, 0, 0, 1], n));
         Instance::new(address, StartStamp::new(1, 0))
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -4,9 +4,11 @@
 
 use std::time::Duration;
 
-use bramleymount::call::{Attempt, CallHead, Meaning, Origin, Protocol, Reason, Refusal};
+use bramleymount::call::{
+    AnswerMeaning, Attempt, CallHead, Protocol, Reason, Refusal, RequestOrigin,
+};
 use bramleymount::model::{
-    AttemptId, CallId, ClassRank, Depth, NamedRate, Priority, Rate, Retries, RootId, ServerId,
+    AttemptId, CallId, ClassRank, Depth, Priority, Rate, RequestedRate, Retries, RootId, ServerId,
     ServiceName, Version,
 };
 use bramleymount::platform::{PlatformProtocol, read_document};
@@ -39,42 +41,42 @@
         depth: Depth::default(),
         single: false,
         deadline: Instant::now() + left,
-        account: Retries::new(0),
+        granted_retries: Retries::new(0),
         once: None,
         repeat: false,
         method: Method::GET,
         target: "/a".into(),
         headers,
         fingerprint: None,
-        told: None,
-        waits: false,
+        notice: None,
+        may_wait: false,
     }
 }
 
-fn from(service: &ServiceName) -> Origin<'_> {
-    Origin {
+fn from(service: &ServiceName) -> RequestOrigin<'_> {
+    RequestOrigin {
         service,
         workspace: None,
     }
 }
 
 #[rstest]
-#[case::answer(200, &[("x-request-id", "r1"), ("x-server-signature", "s")], Meaning::Answer)]
-#[case::failure(500, &[("x-request-id", "r1"), ("x-server-signature", "s")], Meaning::Answer)]
-#[case::unsigned(200, &[("x-request-id", "r1")], Meaning::Garbage)]
-#[case::another(200, &[("x-request-id", "r0"), ("x-server-signature", "s")], Meaning::Garbage)]
-#[case::nameless(200, &[("x-server-signature", "s")], Meaning::Garbage)]
-#[case::full(503, &[("x-request-id", "r1"), ("x-not-executed", "1")], Meaning::NotRun)]
-#[case::not_said(503, &[("x-request-id", "r1")], Meaning::Garbage)]
-#[case::moved(421, &[("x-request-id", "r1")], Meaning::OtherServer(None))]
+#[case::answer(200, &[("x-request-id", "r1"), ("x-server-signature", "s")], AnswerMeaning::Answer)]
+#[case::failure(500, &[("x-request-id", "r1"), ("x-server-signature", "s")], AnswerMeaning::Answer)]
+#[case::unsigned(200, &[("x-request-id", "r1")], AnswerMeaning::Invalid)]
+#[case::another(200, &[("x-request-id", "r0"), ("x-server-signature", "s")], AnswerMeaning::Invalid)]
+#[case::nameless(200, &[("x-server-signature", "s")], AnswerMeaning::Invalid)]
+#[case::full(503, &[("x-request-id", "r1"), ("x-not-executed", "1")], AnswerMeaning::NotRun)]
+#[case::not_said(503, &[("x-request-id", "r1")], AnswerMeaning::Invalid)]
+#[case::moved(421, &[("x-request-id", "r1")], AnswerMeaning::OtherServer(None))]
 fn meaning_of_answers(
     #[case] status: u16,
     #[case] headers: &[(&'static str, &str)],
-    #[case] expected: Meaning,
+    #[case] expected: AnswerMeaning,
 ) {
     let head = head(map(&[("x-request-id", "r1")]), Duration::from_secs(1));
     let status = StatusCode::from_u16(status).expect("a status");
-    let meaning = PlatformProtocol.meaning(&head, status, &map(headers));
+    let meaning = PlatformProtocol.answer_meaning(&head, status, &map(headers));
     assert_eq!(meaning, expected);
 }
 
@@ -82,9 +84,9 @@
 fn meaning_tells_the_other_server() {
     let head = head(map(&[("x-request-id", "r1")]), Duration::from_secs(1));
     let answer = map(&[("x-request-id", "r1"), ("x-instance-id", "i-2")]);
-    let meaning = PlatformProtocol.meaning(&head, StatusCode::MISDIRECTED_REQUEST, &answer);
+    let meaning = PlatformProtocol.answer_meaning(&head, StatusCode::MISDIRECTED_REQUEST, &answer);
     let other: ServerId = "i-2".parse().expect("an id");
-    assert_eq!(meaning, Meaning::OtherServer(Some(other)));
+    assert_eq!(meaning, AnswerMeaning::OtherServer(Some(other)));
 }
 
 #[test]
@@ -101,7 +103,7 @@
         ("x-kept", "1"),
     ]);
     let origin = "own-service".parse().expect("a name");
-    let kept = PlatformProtocol.forward(&sent, from(&origin));
+    let kept = PlatformProtocol.forward_headers(&sent, from(&origin));
     let expected = map(&[
         ("host", "a.example"),
         ("x-request-id", "r1"),
@@ -117,7 +119,7 @@
     tokio::time::advance(Duration::from_millis(200)).await;
     let mut headers = HeaderMap::new();
     let server: ServerId = "i-1".parse().expect("an id");
-    PlatformProtocol.address(&mut headers, &head, Instant::now(), Some(&server));
+    PlatformProtocol.add_attempt(&mut headers, &head, Instant::now(), Some(&server));
     assert_eq!(
         headers,
         map(&[("x-deadline-ms", "500"), ("x-expect-instance", "i-1")])
@@ -136,7 +138,7 @@
             .body(())
             .expect("a request");
         PlatformProtocol
-            .read(&request.into_parts().0)
+            .read_request(&request.into_parts().0)
             .expect("facts")
     };
     let read = facts(id);
@@ -159,13 +161,15 @@
         Reason::Unreachable,
         Reason::Rejected,
         Reason::Replaced,
-        Reason::Cut,
-        Reason::Garbage,
+        Reason::IncompleteAnswer,
+        Reason::InvalidAnswer,
         Reason::Timeout,
     ];
     let reasons: Vec<Reason> = plain.into_iter().chain(shed.map(Reason::Shed)).collect();
     let refused = reasons.iter().map(|r| Attempt::plan().refuse(*r, ""));
-    let lost = reasons.iter().map(|r| Attempt::plan().send().lose(*r, ""));
+    let lost = reasons
+        .iter()
+        .map(|r| Attempt::plan().mark_sent().abandon(*r, ""));
     refused.chain(lost).collect()
 }
 
@@ -175,7 +179,7 @@
 fn status_promises_only_what_is_true() {
     let promises = [408, 421, 429, 503];
     for refusal in refusals() {
-        let status = PlatformProtocol.status(&refusal).as_u16();
+        let status = PlatformProtocol.refusal_status(&refusal).as_u16();
         let promised = promises.contains(&status);
         let not_run = refusal.verdict() == bramleymount::model::Verdict::NotRun;
         assert_eq!(promised, not_run, "{refusal:?} gives {status}");
@@ -184,7 +188,7 @@
 
 #[test]
 fn retry_after_keeps_fractions() {
-    let text = PlatformProtocol.retry_after(Duration::from_millis(250));
+    let text = PlatformProtocol.format_retry_after(Duration::from_millis(250));
     assert_eq!(text, "0.250");
 }
 
@@ -333,24 +337,24 @@
 }
 
 #[rstest]
-#[case::absent(&[], NamedRate::None)]
-#[case::decimal(&["21.9"], NamedRate::Some(Rate::per_second(21.9)))]
-#[case::nothing(&["0"], NamedRate::Some(Rate::per_second(0.0)))]
-#[case::below_one(&[" 0.25 "], NamedRate::Some(Rate::per_second(0.25)))]
-#[case::below_zero(&["-3"], NamedRate::Some(Rate::per_second(0.0)))]
-#[case::huge(&["1e300"], NamedRate::Some(Rate::per_second(1e300)))]
-#[case::endless(&["inf"], NamedRate::Unreadable)]
-#[case::no_number(&["NaN"], NamedRate::Unreadable)]
-#[case::text(&["some"], NamedRate::Unreadable)]
-#[case::empty(&[""], NamedRate::Unreadable)]
-#[case::twice(&["30", "8"], NamedRate::Some(Rate::per_second(8.0)))]
-#[case::once_readable(&["some", "8"], NamedRate::Some(Rate::per_second(8.0)))]
-fn notice_reads_the_rate(#[case] values: &[&'static str], #[case] expected: NamedRate) {
+#[case::absent(&[], RequestedRate::None)]
+#[case::decimal(&["21.9"], RequestedRate::Some(Rate::per_second(21.9)))]
+#[case::nothing(&["0"], RequestedRate::Some(Rate::per_second(0.0)))]
+#[case::below_one(&[" 0.25 "], RequestedRate::Some(Rate::per_second(0.25)))]
+#[case::below_zero(&["-3"], RequestedRate::Some(Rate::per_second(0.0)))]
+#[case::huge(&["1e300"], RequestedRate::Some(Rate::per_second(1e300)))]
+#[case::endless(&["inf"], RequestedRate::Unreadable)]
+#[case::no_number(&["NaN"], RequestedRate::Unreadable)]
+#[case::text(&["some"], RequestedRate::Unreadable)]
+#[case::empty(&[""], RequestedRate::Unreadable)]
+#[case::twice(&["30", "8"], RequestedRate::Some(Rate::per_second(8.0)))]
+#[case::once_readable(&["some", "8"], RequestedRate::Some(Rate::per_second(8.0)))]
+fn notice_reads_the_rate(#[case] values: &[&'static str], #[case] expected: RequestedRate) {
     let mut headers = HeaderMap::new();
     for value in values {
         headers.append("server-limit", HeaderValue::from_static(value));
     }
-    assert_eq!(PlatformProtocol.notice(&headers).rate, expected);
+    assert_eq!(PlatformProtocol.read_notice(&headers).rate, expected);
 }
 
 #[rstest]
@@ -366,5 +370,5 @@
     if let Some(value) = value.into() {
         headers.insert("server-leaving", HeaderValue::from_static(value));
     }
-    assert_eq!(PlatformProtocol.notice(&headers).leaving, expected);
+    assert_eq!(PlatformProtocol.read_notice(&headers).leaving, expected);
 }
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -2,7 +2,7 @@
 
 #![allow(missing_docs)]
 
-use bramleymount::model::{Born, ServerId, Slots};
+use bramleymount::model::{ServerId, ServerStart, Slots};
 use bramleymount::policy::member::{Announcement, AnnouncementEffect, Intent, Presence};
 use rstest::rstest;
 
@@ -122,7 +122,7 @@
 
 fn run(server: &str, born: u64, sequence: u64) -> Announcement {
     Announcement {
-        start: Some(Born::from_millis(born)),
+        start: Some(ServerStart::from_millis(born)),
         ..serve(server, sequence)
     }
 }
@@ -221,9 +221,9 @@
 fn record_departure_of_an_earlier_run_of_the_same_id_changes_nothing() {
     let mut presence = Presence::default();
     presence.announce(&run("a", 2_000, 1));
-    assert!(!presence.record_departure(&id("a"), Some(Born::from_millis(1_000))));
+    assert!(!presence.record_departure(&id("a"), Some(ServerStart::from_millis(1_000))));
     assert!(presence.is_serving());
-    assert!(presence.record_departure(&id("a"), Some(Born::from_millis(2_000))));
+    assert!(presence.record_departure(&id("a"), Some(ServerStart::from_millis(2_000))));
     assert!(!presence.is_serving());
 }
 
@@ -253,7 +253,7 @@
 fn record_leaving_applies_to_one_run_of_a_server() {
     let mut presence = Presence::default();
     let born = |millis| Announcement {
-        start: Some(Born::from_millis(millis)),
+        start: Some(ServerStart::from_millis(millis)),
         ..serve("a", 1)
     };
     presence.announce(&born(1));
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Demand, GuardNews, Instance, Level, Percent, Slots, StartStamp,
+    CentreName, ClassRank, DemandedLevels, GuardStatus, Instance, Level, Percent, Slots, StartStamp,
 };
 use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Split, Table, Target};
 use rand::SeedableRng;
@@ -65,16 +65,16 @@
         table.record_sent(instance(n));
         table.report(now, instance(n), AttemptReport::Unreachable);
     }
-    let full = GuardNews {
-        demand: Demand {
+    let full = GuardStatus {
+        demand: DemandedLevels {
             level: Level::from_raw(u32::MAX),
-            ..Demand::default()
+            ..DemandedLevels::default()
         },
-        ..GuardNews::default()
+        ..GuardStatus::default()
     };
     table.record_sent(instance(1));
     table.report(now, instance(1), AttemptReport::Responded(full));
-    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
+    let picked = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert!(matches!(picked, Pick::Refused(_)), "{picked:?}");
 }
 
@@ -86,9 +86,14 @@
         table.record_sent(instance(n));
         table.report(now, instance(n), AttemptReport::Unreachable);
     }
-    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
+    let picked = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert!(matches!(picked, Pick::Target(_)), "{picked:?}");
-    let picked = table.choose_except(now, needs(Level::OPEN), &[1, 2, 3].map(instance), &mut rng);
+    let picked = table.choose_except(
+        now,
+        needs(Level::ADMIT_ALL),
+        &[1, 2, 3].map(instance),
+        &mut rng,
+    );
     assert_eq!(picked, Pick::NoTarget);
 }
 
@@ -99,7 +104,7 @@
     table.report(
         now,
         instance(2),
-        AttemptReport::Responded(GuardNews::default()),
+        AttemptReport::Responded(GuardStatus::default()),
     );
     assert!(table.has_recent_status(now, instance(2)));
     assert!(!table.has_recent_status(now + Duration::from_secs(1), instance(2)));
@@ -116,14 +121,14 @@
     for turn in 0..1000_u32 {
         // A thousand calls in five seconds.
         let now = start + Duration::from_millis(5) * turn;
-        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::ADMIT_ALL), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(1);
-        let status = GuardNews {
-            faults: Percent::new(if bad { 100 } else { 0 }),
+        let status = GuardStatus {
+            fault_share: Percent::new(if bad { 100 } else { 0 }),
             load: if bad { 0 } else { 26 },
-            ..GuardNews::default()
+            ..GuardStatus::default()
         };
         table.report(now, target, AttemptReport::Responded(status));
         to_bad += u32::from(bad);
@@ -138,13 +143,13 @@
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
     for n in 1..=3 {
-        let status = GuardNews {
-            faults: Percent::new(55),
-            ..GuardNews::default()
+        let status = GuardStatus {
+            fault_share: Percent::new(55),
+            ..GuardStatus::default()
         };
         table.report(now, instance(n), AttemptReport::Responded(status));
     }
-    let chosen = table.choose(now, needs(Level::OPEN), &mut rng);
+    let chosen = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert_eq!(chosen, Pick::Target(instance(1)));
 }
 
@@ -157,11 +162,11 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut to_bad = 0;
     for turn in 0..600 {
-        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::ADMIT_ALL), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(2);
-        let status = GuardNews::default();
+        let status = GuardStatus::default();
         let report = if bad && turn % 2 == 0 {
             AttemptReport::Rejected(status)
         } else {
--- a/tests/route_demand.rs
+++ b/tests/route_demand.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    ClassRank, Demand, GuardNews, Instance, Level, RankSet, Slots, StartStamp,
+    ClassRank, DemandedLevels, GuardStatus, Instance, Level, RankSet, Slots, StartStamp,
 };
 use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Table, Target};
 use rand::SeedableRng;
@@ -43,13 +43,13 @@
 fn report_level(table: &mut Table, now: Instant, n: u16, below: Level) {
     let mut classes = RankSet::default();
     classes.set(ClassRank::new(2), true);
-    let status = GuardNews {
-        demand: Demand {
-            level: Level::OPEN,
-            below,
-            classes,
+    let status = GuardStatus {
+        demand: DemandedLevels {
+            level: Level::ADMIT_ALL,
+            downstream: below,
+            downstream_classes: classes,
         },
-        ..GuardNews::default()
+        ..GuardStatus::default()
     };
     table.record_sent(instance(n));
     table.report(now, instance(n), AttemptReport::Responded(status));
@@ -67,7 +67,7 @@
     [2, 6, 11]
         .iter()
         .for_each(|n| report_level(&mut table, now, *n, downstream_level()));
-    assert_eq!(table.demand(now).below, downstream_level());
+    assert_eq!(table.demand(now).downstream, downstream_level());
     let needs = |hash| CallNeeds {
         level: Level::new(ClassRank::new(2), hash),
         protected: false,
@@ -85,7 +85,7 @@
     let (mut table, now) = (table(), Instant::now());
     report_level(&mut table, now, 3, Level::from_raw(20_000));
     report_level(&mut table, now, 9, Level::from_raw(10_000));
-    assert_eq!(table.demand(now).below, Level::from_raw(15_000));
+    assert_eq!(table.demand(now).downstream, Level::from_raw(15_000));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let (mut table, start) = (table(), Instant::now());
     (1..=TARGETS).for_each(|n| report_level(&mut table, start, n, downstream_level()));
     let at = |ms| start + Duration::from_millis(ms);
-    assert_eq!(table.demand(at(100)).below, downstream_level());
-    assert!(table.demand(at(200)).below < downstream_level());
-    assert_eq!(table.demand(at(10_000)).below, Level::OPEN);
+    assert_eq!(table.demand(at(100)).downstream, downstream_level());
+    assert!(table.demand(at(200)).downstream < downstream_level());
+    assert_eq!(table.demand(at(10_000)).downstream, Level::ADMIT_ALL);
 }
--- a/tests/single_calls.rs
+++ b/tests/single_calls.rs
@@ -82,7 +82,7 @@
             Work::Single { .. } => {
                 let root = RootId::new(self.rng.random());
                 let priority = if self.mark_singles {
-                    Priority::single(rank, root)
+                    Priority::for_single_call(rank, root)
                 } else {
                     Priority::new(rank, Depth::default(), root)
                 };
@@ -200,7 +200,7 @@
     let lowest_level = u32::from(Level::new(rank, 0).get());
     let threshold = Level::from_raw(lowest_level + (refused * Level::STEPS as f64) as u32);
     let roots = (0..1000).map(|n: u128| RootId::new(n * 7_919 + 1));
-    let open = roots.filter(|root| Priority::single(rank, *root).level() >= threshold);
+    let open = roots.filter(|root| Priority::for_single_call(rank, *root).level() >= threshold);
     let share = open.count() as f64 / 1000.0;
     assert!((share - expected).abs() < 0.06, "{share}");
 }
@@ -208,7 +208,7 @@
 #[test]
 fn single_stays_below_the_next_class() {
     let root = RootId::new(u128::MAX);
-    let single = Priority::single(ClassRank::new(2), root);
+    let single = Priority::for_single_call(ClassRank::new(2), root);
     let urgent = Priority::new(ClassRank::new(1), Depth::default(), RootId::new(1));
     assert!(single < urgent);
     assert!(single.level() < Level::new(ClassRank::new(1), 0));
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -23,13 +23,16 @@
 
 fn request(asked: u128) -> Fingerprint {
     Fingerprint {
-        asked,
+        digest: asked,
         caller: CALLER_A,
     }
 }
 
 fn request_by(asked: u128, caller: u64) -> Fingerprint {
-    Fingerprint { asked, caller }
+    Fingerprint {
+        digest: asked,
+        caller,
+    }
 }
 
 fn secs(count: u64) -> Duration {
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use bramleymount::model::{NamedRate, Rate};
+use bramleymount::model::{Rate, RequestedRate};
 use bramleymount::policy::admission::Throttle;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,8 +19,8 @@
 const WINDOW: Duration = Duration::from_secs(4);
 const STEP: Duration = Duration::from_millis(5);
 
-fn requested(requests: f64) -> NamedRate {
-    NamedRate::Some(Rate::per_second(requests))
+fn requested(requests: f64) -> RequestedRate {
+    RequestedRate::Some(Rate::per_second(requests))
 }
 
 /// Starts calls whenever the throttle lets it, from `now` on.
@@ -104,8 +104,8 @@
 /// A slow answer may carry an older rate than a fast one.
 #[rstest]
 #[case::higher(requested(40.0))]
-#[case::none(NamedRate::None)]
-fn record_ignores_late_answers(#[case] late: NamedRate) {
+#[case::none(RequestedRate::None)]
+fn record_ignores_late_answers(#[case] late: RequestedRate) {
     let mut throttle = Throttle::default();
     let sent = Instant::now();
     let reported = sent + Duration::from_secs(1);
@@ -120,19 +120,22 @@
 fn record_ignores_unreadable_rate() {
     let mut throttle = Throttle::default();
     let now = Instant::now();
-    assert!(!throttle.record(now, now, NamedRate::Unreadable));
+    assert!(!throttle.record(now, now, RequestedRate::Unreadable));
     assert_eq!(throttle.rate(), None);
     throttle.record(now, now, requested(20.0));
-    assert!(!throttle.record(now + STEP, now + STEP, NamedRate::Unreadable));
+    assert!(!throttle.record(now + STEP, now + STEP, RequestedRate::Unreadable));
     assert_eq!(throttle.rate(), Some(Rate::per_second(20.0)));
 }
 
 /// A relayed rate is older than the server's own report.
 #[rstest]
 #[case::nothing_reported(None, Some(8.0))]
-#[case::reported_no_rate(Some(NamedRate::None), None)]
+#[case::reported_no_rate(Some(RequestedRate::None), None)]
 #[case::reported_other_rate(Some(requested(20.0)), Some(20.0))]
-fn adopt_yields_to_the_server(#[case] reported: Option<NamedRate>, #[case] expected: Option<f64>) {
+fn adopt_yields_to_the_server(
+    #[case] reported: Option<RequestedRate>,
+    #[case] expected: Option<f64>,
+) {
     let mut throttle = Throttle::default();
     let now = Instant::now();
     if let Some(reported) = reported {
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -14,7 +14,8 @@
 use bramleymount::config::Config;
 use bramleymount::declare::{Estate, Route, load};
 use bramleymount::model::{
-    CentreName, ClassRank, Depth, GuardNews, Instance, Level, Percent, Slots, Span, StartStamp,
+    CentreName, ClassRank, Depth, GuardStatus, Instance, Level, Percent, PositiveDuration, Slots,
+    StartStamp,
 };
 use bramleymount::policy::route::{
     AttemptReport, Balance, CallKind, CallNeeds, CallTime, Pick, Table, Target, TargetState,
@@ -58,7 +59,7 @@
 }
 
 const NEEDS: CallNeeds = CallNeeds {
-    level: Level::OPEN,
+    level: Level::ADMIT_ALL,
     protected: false,
     avoid: None,
 };
@@ -164,9 +165,9 @@
             .in_flight
             .pop_if(|in_flight| in_flight.end_ms <= self.now_ms)
         {
-            let status = GuardNews {
+            let status = GuardStatus {
                 load: self.load(in_flight.server),
-                ..GuardNews::default()
+                ..GuardStatus::default()
             };
             let (now, at) = (self.at(in_flight.end_ms), instance(in_flight.server));
             let table = &mut self.entries[in_flight.entry];
@@ -382,10 +383,10 @@
         let Pick::Target(at) = picked else {
             panic!("no target");
         };
-        let status = GuardNews {
+        let status = GuardStatus {
             load: turn % 40,
-            faults: Percent::new(0),
-            ..GuardNews::default()
+            fault_share: Percent::new(0),
+            ..GuardStatus::default()
         };
         timed.report(now, at, AttemptReport::Responded(status));
         plain.report(now, at, AttemptReport::Responded(status));
@@ -406,8 +407,8 @@
         shares: Vec::new(),
         class: estate.classes[0].name.clone(),
         idempotent: true,
-        timeout: Span::from_millis(timeout),
-        objective: Span::from_millis(1000),
+        timeout: PositiveDuration::from_millis(timeout),
+        objective: PositiveDuration::from_millis(1000),
         attempts: 1,
         public: false,
     };
@@ -478,9 +479,9 @@
         let Pick::Target(at) = table.choose(now, NEEDS, &mut rng) else {
             panic!("no target");
         };
-        let status = GuardNews {
+        let status = GuardStatus {
             load: SLOTS / 2,
-            ..GuardNews::default()
+            ..GuardStatus::default()
         };
         table.report(now, at, AttemptReport::Responded(status));
         let server = usize::from(at.address.port());
