--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::route_match::RouteMatch;
-use crate::call::Facts;
+use crate::call::RequestInfo;
 use crate::model::RouteName;
 
 /// The time that a caller of a route has.
@@ -23,7 +23,7 @@
 
 impl CallerTime {
     /// Returns the time of a caller that tells it, if a route matched.
-    pub(super) fn new(facts: &Facts, matched: &RouteMatch<'_>) -> Option<Self> {
+    pub(super) fn new(facts: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
         let route = matched.route?;
         Some(Self {
             route: route.name.clone(),
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -30,7 +30,9 @@
         {
             return Ok(());
         }
-        Err(Attempt::plan().refuse_once(OnceRefusal::NotOwned).of_key())
+        Err(Attempt::plan()
+            .refuse_once(OnceRefusal::NotOwned)
+            .with_key_scope())
     }
 
     pub(super) fn destination(&self, key: &OnceKey) -> Destination {
@@ -69,7 +71,7 @@
         }
         let lost = matches!(
             failed.reason(),
-            Reason::Cut | Reason::Crashed | Reason::Garbage
+            Reason::IncompleteAnswer | Reason::Crashed | Reason::InvalidAnswer
         );
         if !lost || failed.verdict() != Verdict::MayHaveRun {
             return Err(failed);
@@ -77,7 +79,7 @@
         let inquiry = Box::pin(self.inquire(target, &once.key)).await;
         match inquiry {
             Err(refusal) if refusal.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
-            Err(refusal) => Err(refusal.after(Verdict::MayHaveRun)),
+            Err(refusal) => Err(refusal.with_earlier(Verdict::MayHaveRun)),
             other => other,
         }
     }
@@ -95,7 +97,7 @@
         };
         match self.inquire(owner, key).await {
             Ok(reply) => Ok(reply),
-            Err(refusal) => Err(refusal.after(Verdict::MayHaveRun)),
+            Err(refusal) => Err(refusal.with_earlier(Verdict::MayHaveRun)),
         }
     }
 }
--- a/src/tables/notices.rs
+++ b/src/tables/notices.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::model::Told;
+use crate::model::RelayedNotice;
 
 /// Most servers that are remembered; the one heard of longest ago goes first.
 const MAX_SERVERS: usize = 1024;
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct StampedNotice {
-    notice: Told,
+    notice: RelayedNotice,
     received: Instant,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// Takes what the guard at `address` told of its server.
-    pub fn record(&self, address: SocketAddr, notice: Told) {
+    pub fn record(&self, address: SocketAddr, notice: RelayedNotice) {
         let mut by_vm = self.by_vm.lock();
         let known = by_vm.get(&address).map(|known| known.notice);
         let same = known.filter(|known| known.run == notice.run);
@@ -53,12 +53,12 @@
         if known.is_none() && by_vm.len() >= MAX_SERVERS {
             remove_oldest(&mut by_vm);
         }
-        let (notice, received) = (Told { leaving, ..notice }, Instant::now());
+        let (notice, received) = (RelayedNotice { leaving, ..notice }, Instant::now());
         by_vm.insert(address, StampedNotice { notice, received });
     }
 
     /// Returns what the server on the VM of `address` has said of itself.
-    pub fn get(&self, address: SocketAddr) -> Option<Told> {
+    pub fn get(&self, address: SocketAddr) -> Option<RelayedNotice> {
         let by_vm = self.by_vm.lock();
         let known = by_vm.get(&address)?;
         (known.received.elapsed() < NOTICE_TTL).then_some(known.notice)
