--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -21,7 +21,7 @@
 use crate::metrics::{Gauges, Group, Metrics, page, workspaces};
 use crate::model::{Instance, StartStamp};
 use crate::operator::{Operator, serve_operators};
-use crate::peer::{Peers, Pool, serve_peers};
+use crate::peer::{PeerService, Pool, serve_peers};
 use crate::platform::{
     PlatformProtocol, RowStore, serve_announcements, serve_readiness, watch_configuration,
 };
@@ -91,7 +91,7 @@
         let pool = Arc::new(Pool::new(handle, shared.config.listen.peers.ip()));
         let entry = Entry::new(Arc::clone(&shared), Arc::clone(&guard), Arc::clone(&pool));
         let (peers, stopped) = oneshot::channel();
-        let service = Peers::new(Arc::clone(&shared), Arc::clone(&guard));
+        let service = PeerService::new(Arc::clone(&shared), Arc::clone(&guard));
         serve_peers(shared.config.listen.peers, service, stopped).await?;
         let callers = serve_callers(Arc::clone(&entry)).await?;
         let operators = serve_operators(Operator {
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -13,7 +13,7 @@
 use super::sending::Sending;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
 use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
-use crate::peer::{self, Message};
+use crate::peer::{self, OutgoingCall};
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
@@ -189,14 +189,14 @@
             // On the heap, so that calls to other daemons need no room for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
-            let message = Message {
+            let message = OutgoingCall {
                 head: self.head(),
                 account: loan.retries,
                 body,
-                held: self.holds(target),
+                needs_confirm: self.holds(target),
                 suspect: self.suspect(),
-                told,
-                waits: self.waits,
+                notice: told,
+                may_wait: self.waits,
             };
             peer::send(&self.context.pool, target, attempt, message).await
         };
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -5,7 +5,7 @@
 use super::{ApplyRequest, ApplyResult};
 use crate::declare::{Document, Hash, Manifest, diff, join};
 use crate::model::Version;
-use crate::peer::put_in_force;
+use crate::peer::apply_configuration;
 use crate::store::{Condition, Row, Settled, WriteError, settle};
 use crate::tables::{Shared, unix_ms};
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
@@ -146,7 +146,7 @@
         Settled::Written(_) => {
             let author = &*request.author;
             spdlog::info!("configuration accepted", kv: { version = version.get(), author });
-            if let Err(e) = put_in_force(shared, manifest, request.documents) {
+            if let Err(e) = apply_configuration(shared, manifest, request.documents) {
                 spdlog::error!("cannot put it in force", kv: { cause = e.to_string().as_str() });
             }
             ApplyResult::Accepted { version }
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -20,7 +20,7 @@
 use crate::guard::Guard;
 use crate::metrics::Group;
 use crate::model::CallId;
-use crate::peer::{Pool, version_of};
+use crate::peer::{Pool, query_version};
 use crate::policy::member::{Member, MemberState};
 use crate::tables::Shared;
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
@@ -103,7 +103,7 @@
         let version = match member.instance {
             own if own == self.shared.instance => Some(self.shared.current.version()),
             _ if member.state >= MemberState::Silent => None,
-            other => version_of(&self.shared, &self.pool, other).await,
+            other => query_version(&self.shared, &self.pool, other).await,
         };
         let table = self.shared.routes.table(&member.service);
         let pace = table.lock().latency_ratio(Instant::now(), member.instance);
--- a/src/peer/call.rs
+++ b/src/peer/call.rs
@@ -9,17 +9,17 @@
 
 /// How much longer than the deadline an answer is waited for, so that the
 /// guard's own word on it can arrive.
-pub(super) const SLACK: Duration = Duration::from_millis(20);
+pub(super) const ANSWER_SLACK: Duration = Duration::from_millis(20);
 /// How long connecting may take.
-pub(super) const CONNECT: Duration = Duration::from_millis(500);
+pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest message, in bytes.
-pub(super) const MAX_MESSAGE: usize = 4 * 1024 * 1024;
+pub(super) const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// The path of plain calls.
-pub(super) const PATH: &str = "/call";
+pub(super) const CALL_PATH: &str = "/call";
 
 /// A call on its way to another daemon.
 #[derive(Debug)]
-pub struct Message<'c> {
+pub struct OutgoingCall<'c> {
     /// What travels with the call, but for its account.
     pub head: &'c CallHead,
     /// Retries lent to this attempt.
@@ -27,11 +27,11 @@
     /// The body.
     pub body: Payload,
     /// Whether the guard asks before it starts the call.
-    pub held: bool,
+    pub needs_confirm: bool,
     /// What is known of crashes that the request was under way at.
     pub suspect: Option<Suspect>,
     /// What this side was told of the backend server that it goes to.
-    pub told: Option<Told>,
+    pub notice: Option<Told>,
     /// Whether it waits for the rate that the backend server named.
-    pub waits: bool,
+    pub may_wait: bool,
 }
--- a/src/peer/measure.rs
+++ b/src/peer/checksum.rs
@@ -6,13 +6,13 @@
 
 /// Length and digest of a body that passes by in chunks.
 #[derive(Default)]
-pub(super) struct Measure {
+pub(super) struct BodyChecksum {
     length: u64,
     hasher: Xxh3,
 }
 
-impl Measure {
-    pub(super) fn add(&mut self, chunk: &[u8]) {
+impl BodyChecksum {
+    pub(super) fn update(&mut self, chunk: &[u8]) {
         self.length += chunk.len() as u64;
         self.hasher.update(chunk);
     }
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn fits(&self, tail: &Tail) -> bool {
+    pub(super) fn matches(&self, tail: &Tail) -> bool {
         self.length == tail.length && self.hasher.digest() == tail.digest
     }
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -8,14 +8,14 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Streaming;
 
-use super::call::{Message, SLACK};
-use super::convert::{call_out, headers_out, refusal_in, reply_in};
-use super::direct;
+use super::call::{ANSWER_SLACK, OutgoingCall};
+use super::checksum::BodyChecksum;
+use super::convert::{decode_refusal, decode_reply, encode_call, encode_headers};
 use super::generated::answer_frame::Frame as AnswerPart;
 use super::generated::call_frame::Frame as CallPart;
 use super::generated::{AnswerFrame, CallFrame, InquireRequest, Start};
-use super::id::id_bytes;
-use super::measure::Measure;
+use super::id::encode_id;
+use super::plain_call;
 use super::pool::Pool;
 use crate::call::{Attempt, Planned, Reason, Refusal, Reply, Sent};
 use crate::model::{AttemptId, Instance, OnceKey, ServiceName};
@@ -25,9 +25,9 @@
 /// How long the other daemon may take to say that a call has arrived. It does
 /// so at once; a daemon whose share of its core is used up pauses for a tenth
 /// of a second.
-const REACH: Duration = Duration::from_millis(250);
+const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Frames that wait to be sent.
-const WINDOW: usize = 8;
+const MAX_QUEUED_FRAMES: usize = 8;
 
 /// Sends a call to the guard of `instance` and waits for the answer.
 ///
@@ -41,13 +41,13 @@
     pool: &Pool,
     instance: Instance,
     attempt: Attempt<Planned>,
-    message: Message<'_>,
+    message: OutgoingCall<'_>,
 ) -> Result<Reply, Refusal> {
     match &message.body {
-        Payload::Whole(body) if !message.held => {
+        Payload::Whole(body) if !message.needs_confirm => {
             let body = body.clone();
-            let head = call_out(instance, attempt.id(), &message, Instant::now());
-            direct::send(pool, instance, attempt, message.head, head, body).await
+            let head = encode_call(instance, attempt.id(), &message, Instant::now());
+            plain_call::send(pool, instance, attempt, message.head, head, body).await
         }
         // On the heap, since it needs more room than plain calls.
         _ => Box::pin(send_stream(pool, instance, attempt, message)).await,
@@ -59,35 +59,37 @@
     pool: &Pool,
     instance: Instance,
     attempt: Attempt<Planned>,
-    message: Message<'_>,
+    message: OutgoingCall<'_>,
 ) -> Result<Reply, Refusal> {
-    let Some(mut client) = pool.get(instance.address) else {
+    let Some(mut client) = pool.client(instance.address) else {
         return Err(attempt.refuse(Reason::Unreachable, "no valid address"));
     };
     let deadline = message.head.deadline;
-    let held = message.held;
+    let needs_confirm = message.needs_confirm;
     let (frames, rest) = call_frames(instance, attempt.id(), message);
-    let reached = (Instant::now() + REACH).min(deadline + SLACK);
-    let answer = tokio::time::timeout_at(reached, client.call(frames)).await;
+    let arrival = (Instant::now() + ARRIVAL_TIMEOUT).min(deadline + ANSWER_SLACK);
+    let answer = tokio::time::timeout_at(arrival, client.call(frames)).await;
     let answer = match answer {
         Ok(Ok(answer)) => answer.into_inner(),
-        Ok(Err(status)) if held => return Err(unstarted(pool, instance, attempt, &status)),
-        Ok(Err(status)) => return Err(failed(pool, instance, attempt.send(), &status)),
+        Ok(Err(status)) if needs_confirm => {
+            return Err(refuse_not_started(pool, instance, attempt, &status));
+        }
+        Ok(Err(status)) => return Err(stream_failed(pool, instance, attempt.send(), &status)),
         Err(_) => {
             pool.replace(instance.address);
-            return Err(unheard(attempt, held));
+            return Err(refuse_unacknowledged(attempt, needs_confirm));
         }
     };
-    if held {
+    if needs_confirm {
         return start(pool, instance, attempt, answer, rest, deadline).await;
     }
-    rest.go_on();
-    finish(pool, instance, attempt.send(), answer, deadline).await
+    rest.send_body();
+    receive_answer(pool, instance, attempt.send(), answer, deadline).await
 }
 
 /// Gives up a call of which the guard has not even said that it arrived.
-fn unheard(attempt: Attempt<Planned>, held: bool) -> Refusal {
-    if held {
+fn refuse_unacknowledged(attempt: Attempt<Planned>, needs_confirm: bool) -> Refusal {
+    if needs_confirm {
         return attempt.refuse(Reason::Unreachable, "the guard did not answer in time");
     }
     attempt
@@ -101,18 +103,18 @@
     instance: Instance,
     attempt: Attempt<Planned>,
     mut answer: Streaming<AnswerFrame>,
-    rest: Rest,
+    rest: RemainingFrames,
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    let first = tokio::time::timeout_at(deadline + SLACK, answer.message()).await;
+    let first = tokio::time::timeout_at(deadline + ANSWER_SLACK, answer.message()).await;
     let first = match first {
         Ok(Ok(frame)) => frame.and_then(|frame| frame.frame),
-        Ok(Err(status)) => return Err(unstarted(pool, instance, attempt, &status)),
+        Ok(Err(status)) => return Err(refuse_not_started(pool, instance, attempt, &status)),
         Err(_) => return Err(attempt.refuse(Reason::Shed(Shed::Deadline), "no slot in time")),
     };
     match first {
         Some(AnswerPart::Start(_)) => {}
-        Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt.send(), &refusal)),
+        Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt.send(), &refusal)),
         _ => return Err(attempt.refuse(Reason::Unreachable, "the guard did not ask to start")),
     }
     if Instant::now() >= deadline {
@@ -120,20 +122,20 @@
     }
     let attempt = attempt.send();
     rest.start();
-    finish(pool, instance, attempt, answer, deadline).await
+    receive_answer(pool, instance, attempt, answer, deadline).await
 }
 
-async fn finish(
+async fn receive_answer(
     pool: &Pool,
     instance: Instance,
     attempt: Attempt<Sent>,
     answer: Streaming<AnswerFrame>,
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    match tokio::time::timeout_at(deadline + SLACK, first_frame(answer)).await {
+    match tokio::time::timeout_at(deadline + ANSWER_SLACK, first_frame(answer)).await {
         Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
-        Ok(Err(status)) => Err(failed(pool, instance, attempt, &status)),
-        Ok(Ok((frame, rest))) => answered(attempt, frame, rest),
+        Ok(Err(status)) => Err(stream_failed(pool, instance, attempt, &status)),
+        Ok(Ok((frame, rest))) => read_answer(attempt, frame, rest),
     }
 }
 
@@ -150,7 +152,7 @@
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
     let attempt = Attempt::plan().send();
-    let Some(mut client) = pool.fresh(instance.address) else {
+    let Some(mut client) = pool.new_client(instance.address) else {
         return Err(attempt.lose(Reason::Unreachable, "no valid address"));
     };
     let left = deadline.saturating_duration_since(Instant::now());
@@ -158,48 +160,52 @@
         instance: instance.to_string(),
         service: service.to_string(),
         once_key: key.to_string(),
-        attempt: id_bytes(attempt.id().get()),
+        attempt: encode_id(attempt.id().get()),
         wait_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
     };
-    let asked = async {
+    let inquiry = async {
         let answer = client.inquire(request).await?;
         first_frame(answer.into_inner()).await
     };
-    match tokio::time::timeout_at(deadline + SLACK, asked).await {
+    match tokio::time::timeout_at(deadline + ANSWER_SLACK, inquiry).await {
         Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
         Ok(Err(status)) => Err(attempt.lose(Reason::Cut, status.message())),
-        Ok(Ok((frame, rest))) => answered(attempt, frame, rest),
+        Ok(Ok((frame, rest))) => read_answer(attempt, frame, rest),
     }
 }
 
 type Frames = ReceiverStream<CallFrame>;
 
 /// What follows the first frame of a call.
-struct Rest {
+struct RemainingFrames {
     chunks: Option<Chunks>,
     sender: mpsc::Sender<CallFrame>,
 }
 
-impl Rest {
+impl RemainingFrames {
     /// Lets a held call start, and sends its body if that is streamed.
     fn start(self) {
         // The channel is empty but for the first frame, so there is room.
         let _ = self.sender.try_send(frame(CallPart::Start(Start {})));
-        self.go_on();
+        self.send_body();
     }
 
     /// Sends the body, if it is streamed.
-    fn go_on(self) {
+    fn send_body(self) {
         if let Some(chunks) = self.chunks {
-            tokio::spawn(pump_out(chunks, self.sender));
+            tokio::spawn(send_chunks(chunks, self.sender));
         }
     }
 }
 
-fn call_frames(instance: Instance, attempt: AttemptId, message: Message<'_>) -> (Frames, Rest) {
-    let (sender, receiver) = mpsc::channel(WINDOW);
-    let mut head = call_out(instance, attempt, &message, Instant::now());
-    head.headers = headers_out(&message.head.headers);
+fn call_frames(
+    instance: Instance,
+    attempt: AttemptId,
+    message: OutgoingCall<'_>,
+) -> (Frames, RemainingFrames) {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let mut head = encode_call(instance, attempt, &message, Instant::now());
+    head.headers = encode_headers(&message.head.headers);
     let chunks = match message.body {
         Payload::Whole(bytes) => {
             head.body = bytes;
@@ -208,7 +214,7 @@
         Payload::Stream { chunks, .. } => Some(chunks),
     };
     let _ = sender.try_send(frame(CallPart::Head(head)));
-    let rest = Rest { chunks, sender };
+    let rest = RemainingFrames { chunks, sender };
     (ReceiverStream::new(receiver), rest)
 }
 
@@ -218,26 +224,26 @@
 
 /// Sends a streamed body on. If it is cut no tail is sent, which tells the
 /// guard.
-async fn pump_out(mut chunks: Chunks, to: mpsc::Sender<CallFrame>) {
-    let mut measure = Measure::default();
+async fn send_chunks(mut chunks: Chunks, to: mpsc::Sender<CallFrame>) {
+    let mut checksum = BodyChecksum::default();
     while let Some(chunk) = chunks.next().await {
         let Ok(chunk) = chunk else {
             return;
         };
-        measure.add(&chunk);
+        checksum.update(&chunk);
         if to.send(frame(CallPart::Chunk(chunk))).await.is_err() {
             return;
         }
     }
-    let _ = to.send(frame(CallPart::Tail(measure.tail()))).await;
+    let _ = to.send(frame(CallPart::Tail(checksum.tail()))).await;
 }
 
 async fn first_frame(
     mut frames: Streaming<AnswerFrame>,
 ) -> Result<(Option<AnswerPart>, Streaming<AnswerFrame>), tonic::Status> {
     let first = frames.message().await?.and_then(|frame| frame.frame);
-    let more = matches!(&first, Some(AnswerPart::Head(head)) if head.streamed);
-    if !more {
+    let streamed = matches!(&first, Some(AnswerPart::Head(head)) if head.streamed);
+    if !streamed {
         // Read to the end: a stream that is dropped before is reset, and many
         // resets make the other side close the connection.
         let _ = frames.message().await;
@@ -246,7 +252,7 @@
 }
 
 /// Gives up a held call that was not told to start.
-fn unstarted(
+fn refuse_not_started(
     pool: &Pool,
     instance: Instance,
     attempt: Attempt<Planned>,
@@ -256,14 +262,14 @@
     attempt.refuse(Reason::Unreachable, status.message())
 }
 
-fn failed(
+fn stream_failed(
     pool: &Pool,
     instance: Instance,
     attempt: Attempt<Sent>,
     status: &tonic::Status,
 ) -> Refusal {
     pool.replace(instance.address);
-    if never_connected(status) {
+    if is_connect_error(status) {
         return attempt
             .unsent()
             .refuse(Reason::Unreachable, status.message());
@@ -272,7 +278,7 @@
 }
 
 /// Tells whether no connection was made, so that no byte can have left.
-fn never_connected(status: &tonic::Status) -> bool {
+fn is_connect_error(status: &tonic::Status) -> bool {
     let mut source = std::error::Error::source(status);
     while let Some(cause) = source {
         if cause.is::<tonic::ConnectError>() {
@@ -283,27 +289,27 @@
     false
 }
 
-fn answered(
+fn read_answer(
     attempt: Attempt<Sent>,
     part: Option<AnswerPart>,
     rest: Streaming<AnswerFrame>,
 ) -> Result<Reply, Refusal> {
     let head = match part {
         Some(AnswerPart::Head(head)) => head,
-        Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt, &refusal)),
+        Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt, &refusal)),
         _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
     };
-    if head.attempt != id_bytes(attempt.id().get()) {
+    if head.attempt != encode_id(attempt.id().get()) {
         return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
     }
     let streamed = head.streamed;
-    let (head, body) = match reply_in(head) {
+    let (head, body) = match decode_reply(head) {
         Ok(parts) => parts,
         Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
     };
     let body = if streamed {
         let (sender, chunks) = Chunks::channel();
-        tokio::spawn(pump_in(rest, sender));
+        tokio::spawn(receive_chunks(rest, sender));
         let length = None;
         Payload::Stream { length, chunks }
     } else {
@@ -313,8 +319,8 @@
 }
 
 /// Takes a streamed answer in; it counts as whole only if its tail fits.
-async fn pump_in(mut frames: Streaming<AnswerFrame>, to: mpsc::Sender<Result<Bytes, Cut>>) {
-    let mut measure = Measure::default();
+async fn receive_chunks(mut frames: Streaming<AnswerFrame>, to: mpsc::Sender<Result<Bytes, Cut>>) {
+    let mut checksum = BodyChecksum::default();
     loop {
         let part = match frames.message().await {
             Ok(Some(frame)) => frame.frame,
@@ -322,10 +328,10 @@
         };
         let item = match part {
             Some(AnswerPart::Chunk(chunk)) if !chunk.is_empty() => {
-                measure.add(&chunk);
+                checksum.update(&chunk);
                 Ok(chunk)
             }
-            Some(AnswerPart::Tail(tail)) if measure.fits(&tail) => Ok(Bytes::new()),
+            Some(AnswerPart::Tail(tail)) if checksum.matches(&tail) => Ok(Bytes::new()),
             _ => Err(Cut),
         };
         let last = !matches!(&item, Ok(chunk) if !chunk.is_empty());
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::call::Message;
+use super::call::OutgoingCall;
 use super::generated as wire;
-use super::id::{attempt_of, id_bytes, id_of};
-use super::suspect::suspect_out;
-use super::told::{room_in, room_out, told_in, told_out};
+use super::id::{decode_attempt_id, decode_id, encode_id};
+use super::notice::{decode_notice, decode_rate_delay, encode_notice, encode_rate_delay};
+use super::suspect::encode_suspect;
 use crate::call::{Attempt, CallHead, OnceCall, Reason, Refusal, ReplyHead, Scope, Sent};
 use crate::declare::Estate;
 use crate::error::Error;
@@ -29,7 +29,7 @@
 }
 
 /// Writes headers.
-pub(super) fn headers_out(headers: &HeaderMap) -> Vec<wire::Header> {
+pub(super) fn encode_headers(headers: &HeaderMap) -> Vec<wire::Header> {
     headers
         .iter()
         .map(|(name, value)| wire::Header {
@@ -40,25 +40,25 @@
 }
 
 /// Reads headers.
-pub(super) fn headers_in(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
+pub(super) fn decode_headers(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
     if headers.len() > MAX_HEADERS {
         return Err(Error::value("message", "it has too many headers"));
     }
     let mut map = HeaderMap::with_capacity(headers.len());
     for header in headers {
-        let wrong = || Error::value("header", String::from_utf8_lossy(&header.name));
-        let name = HeaderName::from_bytes(&header.name).map_err(|_| wrong())?;
-        let value = HeaderValue::from_maybe_shared(header.value).map_err(|_| wrong())?;
+        let invalid = || Error::value("header", String::from_utf8_lossy(&header.name));
+        let name = HeaderName::from_bytes(&header.name).map_err(|_| invalid())?;
+        let value = HeaderValue::from_maybe_shared(header.value).map_err(|_| invalid())?;
         map.append(name, value);
     }
     Ok(map)
 }
 
 /// Writes the head of a call to `instance`, without its headers and its body.
-pub(super) fn call_out(
+pub(super) fn encode_call(
     instance: Instance,
     attempt: AttemptId,
-    message: &Message<'_>,
+    message: &OutgoingCall<'_>,
     now: Instant,
 ) -> wire::CallHead {
     let head = message.head;
@@ -66,9 +66,9 @@
     let once = head.once.as_ref();
     wire::CallHead {
         instance: instance.to_string(),
-        attempt: id_bytes(attempt.get()),
-        call: id_bytes(head.call.get()),
-        root: id_bytes(head.root.get()),
+        attempt: encode_id(attempt.get()),
+        call: encode_id(head.call.get()),
+        root: encode_id(head.root.get()),
         service: head.service.as_str().to_owned(),
         caller: head
             .caller
@@ -86,22 +86,22 @@
         body: Bytes::new(),
         repeat: head.repeat,
         rank: u32::from(head.priority.rank().get()),
-        held: message.held,
+        held: message.needs_confirm,
         single: head.single,
         asked: head
             .fingerprint
-            .map_or(Bytes::new(), |asks| id_bytes(asks.asked)),
-        asked_by: head.fingerprint.map_or(0, |asks| asks.caller),
-        suspect: message.suspect.as_ref().map(|s| suspect_out(s, now)),
+            .map_or(Bytes::new(), |fingerprint| encode_id(fingerprint.asked)),
+        asked_by: head.fingerprint.map_or(0, |fingerprint| fingerprint.caller),
+        suspect: message.suspect.as_ref().map(|s| encode_suspect(s, now)),
         workspace: head.workspace.map_or(0, WorkspaceId::get),
-        told: message.told.as_ref().map(told_out),
-        waits: message.waits,
+        told: message.notice.as_ref().map(encode_notice),
+        waits: message.may_wait,
     }
 }
 
 /// Reads the head of a call; a class that is not declared here has the rank
 /// that the sender gave it.
-pub(super) fn call_in(
+pub(super) fn decode_call(
     head: wire::CallHead,
     estate: Option<&Estate>,
     now: Instant,
@@ -110,7 +110,7 @@
         Some((rank, class)) => (rank, class.name.clone()),
         None => (ClassRank::new(head.rank as usize), head.class.parse()?),
     };
-    let root = RootId::new(id_of(&head.root)?);
+    let root = RootId::new(decode_id(&head.root)?);
     let depth = Depth::new(u8::try_from(head.depth).unwrap_or(u8::MAX));
     let once = match head.once_key.as_str() {
         "" => None,
@@ -119,7 +119,7 @@
     let fingerprint = match head.asked.len() {
         0 => None,
         _ => Some(Fingerprint {
-            asked: id_of(&head.asked)?,
+            asked: decode_id(&head.asked)?,
             caller: head.asked_by,
         }),
     };
@@ -130,8 +130,8 @@
     let method = Method::from_bytes(head.method.as_bytes())
         .map_err(|_| Error::value("method", head.method.clone()))?;
     Ok(CallHead {
-        attempt: attempt_of(&head.attempt)?,
-        call: CallId::new(id_of(&head.call)?),
+        attempt: decode_attempt_id(&head.attempt)?,
+        call: CallId::new(decode_id(&head.call)?),
         root,
         service: head.service.parse()?,
         caller,
@@ -150,22 +150,22 @@
         repeat: head.repeat,
         method,
         target: head.target.into(),
-        headers: headers_in(head.headers)?,
+        headers: decode_headers(head.headers)?,
         fingerprint,
-        told: head.told.as_ref().map(told_in),
+        told: head.told.as_ref().map(decode_notice),
         waits: head.waits,
     })
 }
 
 /// Writes the head of an answer, without its headers.
-pub(super) fn reply_out(
+pub(super) fn encode_reply(
     attempt: AttemptId,
     head: &ReplyHead,
     body: Option<Bytes>,
 ) -> wire::AnswerHead {
     let digest = body.as_ref().map_or(0, |body| xxh3_64(body));
     wire::AnswerHead {
-        attempt: id_bytes(attempt.get()),
+        attempt: encode_id(attempt.get()),
         status: u32::from(head.status.as_u16()),
         headers: Vec::new(),
         streamed: body.is_none(),
@@ -180,13 +180,13 @@
         faults: u32::from(head.news.faults.get()),
         leaving: head.news.leaving,
         onward: head.onward,
-        told: head.news.told.as_ref().map(told_out),
-        room_ms: room_out(head.news.room),
+        told: head.news.told.as_ref().map(encode_notice),
+        room_ms: encode_rate_delay(head.news.room),
     }
 }
 
 /// Reads the head of an answer.
-pub(super) fn reply_in(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
+pub(super) fn decode_reply(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
     if !head.streamed && xxh3_64(&head.body) != head.digest {
         return Err(Error::value("answer", "its digest does not fit"));
     }
@@ -196,7 +196,7 @@
         .ok_or_else(|| Error::value("status", head.status.to_string()))?;
     let reply = ReplyHead {
         status,
-        headers: headers_in(head.headers)?,
+        headers: decode_headers(head.headers)?,
         account: Retries::new(head.account),
         news: GuardNews {
             demand: Demand {
@@ -207,8 +207,8 @@
             load: head.load,
             faults: Percent::new(head.faults),
             leaving: head.leaving,
-            told: head.told.as_ref().map(told_in),
-            room: room_in(head.room_ms),
+            told: head.told.as_ref().map(decode_notice),
+            room: decode_rate_delay(head.room_ms),
         },
         onward: head.onward,
         kept: head.kept,
@@ -217,10 +217,10 @@
 }
 
 /// Writes a refusal.
-pub(super) fn refusal_out(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
+pub(super) fn encode_refusal(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
     let news = refusal.news.unwrap_or_default();
     wire::Refusal {
-        attempt: id_bytes(attempt.get()),
+        attempt: encode_id(attempt.get()),
         verdict: refusal.verdict().to_string(),
         reason: refusal.reason().to_string(),
         detail: refusal.detail.to_string(),
@@ -233,15 +233,15 @@
         load: news.load,
         faults: u32::from(news.faults.get()),
         leaving: news.leaving,
-        told: news.told.as_ref().map(told_out),
-        room_ms: room_out(news.room),
+        told: news.told.as_ref().map(encode_notice),
+        room_ms: encode_rate_delay(news.room),
         crash: refusal.crash.map_or(0, CrashId::get),
     }
 }
 
 /// Repeats a refusal that the other side sent.
-pub(super) fn refusal_in(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
-    let parts = attempt_of(&message.attempt).and_then(|of| {
+pub(super) fn decode_refusal(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
+    let parts = decode_attempt_id(&message.attempt).and_then(|of| {
         let verdict: Verdict = message.verdict.parse()?;
         let reason: Reason = message.reason.parse()?;
         Ok((of, verdict, reason))
@@ -270,8 +270,8 @@
             load: message.load,
             faults: Percent::new(message.faults),
             leaving: message.leaving,
-            told: message.told.as_ref().map(told_in),
-            room: room_in(message.room_ms),
+            told: message.told.as_ref().map(decode_notice),
+            room: decode_rate_delay(message.room_ms),
         });
     }
     refusal
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -16,63 +16,71 @@
 const TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What a daemon says to a question for credit.
-enum Answer {
-    Lent(CreditGrant),
+enum CreditAnswer {
+    Granted(CreditGrant),
     /// Another daemon coordinates the workspace.
     Elsewhere(Instance),
 }
 
 /// Asks the coordinator of a workspace for credit; `None` if it does not
 /// answer in time or does not know the workspace.
-pub async fn borrow(
+pub async fn request_credit(
     shared: &Shared,
     pool: &Pool,
     workspace: &WorkspaceName,
-    asked: CreditQuery,
+    credit_query: CreditQuery,
 ) -> Option<CreditGrant> {
-    let answered = tokio::time::timeout(TIMEOUT, find(shared, pool, workspace, asked)).await;
+    let answered = tokio::time::timeout(
+        TIMEOUT,
+        query_coordinator(shared, pool, workspace, credit_query),
+    )
+    .await;
     answered.ok().flatten()
 }
 
-async fn find(
+async fn query_coordinator(
     shared: &Shared,
     pool: &Pool,
     workspace: &WorkspaceName,
-    asked: CreditQuery,
+    credit_query: CreditQuery,
 ) -> Option<CreditGrant> {
-    let first = shared.ring().coordinator(workspace)?;
-    match ask(shared, pool, first, workspace, asked, false).await? {
-        Answer::Lent(lent) => Some(lent),
-        Answer::Elsewhere(other) => match ask(shared, pool, other, workspace, asked, true).await? {
-            Answer::Lent(lent) => Some(lent),
-            Answer::Elsewhere(_) => None,
-        },
+    let coordinator = shared.ring().coordinator(workspace)?;
+    match query(shared, pool, coordinator, workspace, credit_query, false).await? {
+        CreditAnswer::Granted(grant) => Some(grant),
+        CreditAnswer::Elsewhere(other) => {
+            match query(shared, pool, other, workspace, credit_query, true).await? {
+                CreditAnswer::Granted(grant) => Some(grant),
+                CreditAnswer::Elsewhere(_) => None,
+            }
+        }
     }
 }
 
-async fn ask(
+async fn query(
     shared: &Shared,
     pool: &Pool,
     coordinator: Instance,
     workspace: &WorkspaceName,
-    asked: CreditQuery,
+    credit_query: CreditQuery,
     redirected: bool,
-) -> Option<Answer> {
+) -> Option<CreditAnswer> {
     let own = shared.instance.address;
     if coordinator.address == own {
-        return shared.lend(workspace, own, asked).map(Answer::Lent);
+        return shared
+            .lend(workspace, own, credit_query)
+            .map(CreditAnswer::Granted);
     }
     let request = wire::CreditRequest {
         workspace: workspace.to_string(),
         from: own.to_string(),
-        held: asked.balance,
-        want: asked.amount,
-        demand: asked.demand,
+        held: credit_query.balance,
+        want: credit_query.amount,
+        demand: credit_query.demand,
         redirected,
-        alone: asked.local_admits,
+        alone: credit_query.local_admits,
     };
     let client = pool.plain(coordinator.address);
-    let reply: wire::CreditReply = match client.ask(CREDIT_PATH, &request).await {
+    let reply: wire::CreditReply = match client.query(CREDIT_PATH, &request).await {
         Ok(reply) => reply,
         Err(e) => {
             let cause = e.to_string();
@@ -81,12 +89,12 @@
         }
     };
     if let Ok(other) = reply.elsewhere.parse() {
-        return Some(Answer::Elsewhere(other));
+        return Some(CreditAnswer::Elsewhere(other));
     }
     reply.known.then(|| {
-        Answer::Lent(CreditGrant {
-            credit: amount(reply.credit),
-            share: amount(reply.share),
+        CreditAnswer::Granted(CreditGrant {
+            credit: valid_amount(reply.credit),
+            share: valid_amount(reply.share),
             wait: Duration::from_millis(u64::from(reply.wait_ms)),
         })
     })
@@ -110,18 +118,18 @@
             ..unknown
         };
     }
-    let asked = CreditQuery {
-        balance: amount(request.held),
-        amount: amount(request.want),
-        demand: amount(request.demand),
-        local_admits: amount(request.alone),
+    let credit_query = CreditQuery {
+        balance: valid_amount(request.held),
+        amount: valid_amount(request.want),
+        demand: valid_amount(request.demand),
+        local_admits: valid_amount(request.alone),
     };
-    match shared.lend(&workspace, from, asked) {
+    match shared.lend(&workspace, from, credit_query) {
         None => unknown,
-        Some(lent) => wire::CreditReply {
-            credit: lent.credit,
-            share: lent.share,
-            wait_ms: u32::try_from(lent.wait.as_millis()).unwrap_or(u32::MAX),
+        Some(grant) => wire::CreditReply {
+            credit: grant.credit,
+            share: grant.share,
+            wait_ms: u32::try_from(grant.wait.as_millis()).unwrap_or(u32::MAX),
             known: true,
             ..unknown
         },
@@ -129,7 +137,7 @@
 }
 
 /// Reads an amount; what is no number or below zero counts as nothing.
-fn amount(number: f64) -> f64 {
+fn valid_amount(number: f64) -> f64 {
     if number.is_finite() {
         number.max(0.0)
     } else {
--- a/src/peer/news.rs
+++ b/src/peer/gossip.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::ask::{ExchangeError, TIMEOUT, ask};
 use super::generated as wire;
-use super::member::{home_out, member_in, member_out};
+use super::member::{decode_member, encode_member, encode_ownership};
 use super::pool::Pool;
-use super::rollout::{fetch, wanted};
-use super::suspect::{suspects_in, suspects_out};
+use super::query::{ExchangeError, TIMEOUT, query};
+use super::rollout::{fetch_configuration, requested_documents};
+use super::suspect::{decode_suspects, encode_suspects};
 use crate::error::Error;
 use crate::model::{Instance, ServiceName, Version};
 use crate::policy::member::{ChangeCount, Member, SyncPosition, VersionDecision, View};
@@ -19,18 +19,18 @@
 use crate::tables::Shared;
 
 /// Members told in one message, at most; the others follow with the next.
-const PAGE: usize = 256;
+const MAX_PAGE_MEMBERS: usize = 256;
 /// Members told to a daemon that is not known. In a start of all each asks the
 /// few that the settings name, and what those send grows with their number.
-const FIRST_PAGE: usize = 64;
+const FIRST_PAGE_MEMBERS: usize = 64;
 
 /// What an exchange brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Exchanged {
+pub struct ExchangeOutcome {
     /// How far the two sides have told each other.
-    pub told: SyncPosition,
+    pub position: SyncPosition,
     /// Whether both views are the same.
-    pub same: bool,
+    pub same_view: bool,
     /// The instance that answered.
     pub instance: Instance,
 }
@@ -44,51 +44,51 @@
     shared: &Shared,
     pool: &Pool,
     address: SocketAddr,
-    told: SyncPosition,
-) -> Result<Exchanged, ExchangeError> {
-    let (request, sent) = request(shared, told);
-    let answer = ask(pool, address, request).await?;
+    position: SyncPosition,
+) -> Result<ExchangeOutcome, ExchangeError> {
+    let (request, sent) = request(shared, position);
+    let answer = query(pool, address, request).await?;
     let instance: Instance = answer
         .from
         .parse()
         .map_err(|e: Error| ExchangeError(e.to_string().into()))?;
     shared.term.lock().record_answer(Instant::now());
     let members = read_members(&answer.members);
-    if members.len() < FIRST_PAGE {
+    if members.len() < FIRST_PAGE_MEMBERS {
         // The neighbour has told all that it knows.
         shared.readiness.found();
     }
-    let known = take_members(shared, |view, now| {
+    let known = merge_members(shared, |view, now| {
         view.merge_reply(now, members.into_iter(), sent.members)
     });
-    let same = shared.view.lock().digest() == answer.digest;
-    take_homes(shared, &answer.homes);
-    shared.take_suspects(&suspects_in(&answer.suspects));
+    let same_view = shared.view.lock().digest() == answer.digest;
+    merge_ownership(shared, &answer.homes);
+    shared.take_suspects(&decode_suspects(&answer.suspects));
     if shared.current.offer(Version::new(answer.version)) == VersionDecision::Apply {
-        fetch(shared, pool, address, &answer).await?;
+        fetch_configuration(shared, pool, address, &answer).await?;
     }
-    let told = SyncPosition {
+    let position = SyncPosition {
         sent: Some(known),
         received: ChangeCount(answer.change),
         homes_received: ChangeCount(answer.homes_change),
         // Another run of the daemon knows nothing of what was told before.
-        suspects_sent: match told.instance {
+        suspects_sent: match position.instance {
             Some(of) if of != instance => ChangeCount::default(),
             _ => sent.suspects,
         },
         suspects_received: ChangeCount(answer.suspects_change),
         instance: Some(instance),
     };
-    Ok(Exchanged {
-        told,
-        same,
+    Ok(ExchangeOutcome {
+        position,
+        same_view,
         instance,
     })
 }
 
 /// Asks a member which configuration it runs, over a connection that is not
 /// kept; `None` if it does not answer in time.
-pub async fn version_of(shared: &Shared, pool: &Pool, instance: Instance) -> Option<Version> {
+pub async fn query_version(shared: &Shared, pool: &Pool, instance: Instance) -> Option<Version> {
     // Nothing but the version is wanted, so all else counts as seen.
     let request = wire::ExchangeRequest {
         from: shared.instance.to_string(),
@@ -100,37 +100,37 @@
         homes_digest: shared.homes.digest(),
         ..Default::default()
     };
-    let mut client = pool.fresh(instance.address)?;
-    let asked = tokio::time::timeout(TIMEOUT, client.exchange(request)).await;
-    let answer = asked.ok()?.ok()?.into_inner();
+    let mut client = pool.new_client(instance.address)?;
+    let queried = tokio::time::timeout(TIMEOUT, client.exchange(request)).await;
+    let answer = queried.ok()?.ok()?.into_inner();
     (answer.from == instance.to_string()).then(|| Version::new(answer.version))
 }
 
 /// Up to which changes a request tells.
-struct Sent {
+struct SentChanges {
     members: ChangeCount,
     suspects: ChangeCount,
 }
 
-fn request(shared: &Shared, told: SyncPosition) -> (wire::ExchangeRequest, Sent) {
-    let (suspects, suspects_change) = shared.suspects.changed(told.suspects_sent);
+fn request(shared: &Shared, position: SyncPosition) -> (wire::ExchangeRequest, SentChanges) {
+    let (suspects, suspects_change) = shared.suspects.changed(position.suspects_sent);
     let homes_digest = shared.homes.digest();
     let version = shared.current.version().get();
     let view = shared.view.lock();
-    let page = view.page(told.sent.unwrap_or_default(), PAGE, &[]);
+    let page = view.page(position.sent.unwrap_or_default(), MAX_PAGE_MEMBERS, &[]);
     let request = wire::ExchangeRequest {
         from: shared.instance.to_string(),
-        members: page.members.iter().map(member_out).collect(),
+        members: page.members.iter().map(encode_member).collect(),
         version,
         want: Vec::new(),
-        seen: told.received.0,
-        homes_seen: told.homes_received.0,
-        seen_of: told.instance.map_or(String::new(), |of| of.to_string()),
+        seen: position.received.0,
+        homes_seen: position.homes_received.0,
+        seen_of: position.instance.map_or(String::new(), |of| of.to_string()),
         homes_digest,
-        suspects: suspects_out(&suspects),
-        suspects_seen: told.suspects_received.0,
+        suspects: encode_suspects(&suspects),
+        suspects_seen: position.suspects_received.0,
     };
-    let sent = Sent {
+    let sent = SentChanges {
         members: page.change,
         suspects: suspects_change,
     };
@@ -139,11 +139,14 @@
 
 /// Reads members; those that cannot be read are passed over.
 fn read_members(members: &[wire::Member]) -> Vec<Member> {
-    members.iter().filter_map(|m| member_in(m).ok()).collect()
+    members
+        .iter()
+        .filter_map(|m| decode_member(m).ok())
+        .collect()
 }
 
 /// Takes news of members, and passes on what is new.
-fn take_members<T>(shared: &Shared, take: impl FnOnce(&mut View, Instant) -> T) -> T {
+fn merge_members<T>(shared: &Shared, take: impl FnOnce(&mut View, Instant) -> T) -> T {
     let (taken, changed) = {
         let mut view = shared.view.lock();
         let before = view.change();
@@ -156,7 +159,7 @@
     taken
 }
 
-fn take_homes(shared: &Shared, homes: &[wire::HomeRow]) {
+fn merge_ownership(shared: &Shared, homes: &[wire::HomeRow]) {
     for home in homes {
         let service: Result<ServiceName, _> = home.key.parse();
         if let (Ok(service), Ok(row)) = (service, OwnershipRow::decode(&home.content)) {
@@ -167,8 +170,8 @@
 
 /// Answers an exchange, and has the sender asked for what is known only there.
 pub(super) fn answer(shared: &Shared, request: &wire::ExchangeRequest) -> wire::ExchangeReply {
-    let (reply, worth) = reply(shared, request);
-    if worth && let Ok(from) = request.from.parse::<Instance>() {
+    let (reply, has_updates) = reply(shared, request);
+    if has_updates && let Ok(from) = request.from.parse::<Instance>() {
         shared.ask_later(from.address);
     }
     reply
@@ -177,11 +180,11 @@
 /// Answers an exchange; returns also whether the sender knows something that
 /// is worth asking it for.
 fn reply(shared: &Shared, request: &wire::ExchangeRequest) -> (wire::ExchangeReply, bool) {
-    let told = read_members(&request.members);
-    take_members(shared, |view, now| {
-        view.merge_all(now, told.iter().cloned())
+    let members = read_members(&request.members);
+    merge_members(shared, |view, now| {
+        view.merge_all(now, members.iter().cloned())
     });
-    shared.take_suspects(&suspects_in(&request.suspects));
+    shared.take_suspects(&decode_suspects(&request.suspects));
     let in_force = shared.current.get();
     let version = shared.current.version();
     let sender = Version::new(request.version);
@@ -196,26 +199,30 @@
     let (homes, homes_change) = shared.homes.changed(since(request.homes_seen));
     let (suspects, suspects_change) = shared.suspects.changed(since(request.suspects_seen));
     let view = shared.view.lock();
-    let most = if known { PAGE } else { FIRST_PAGE };
-    let page = view.page(since(request.seen), most, &told);
+    let page_size = if known {
+        MAX_PAGE_MEMBERS
+    } else {
+        FIRST_PAGE_MEMBERS
+    };
+    let page = view.page(since(request.seen), page_size, &members);
     let reply = wire::ExchangeReply {
         from: shared.instance.to_string(),
         digest: view.digest(),
-        members: page.members.iter().map(member_out).collect(),
+        members: page.members.iter().map(encode_member).collect(),
         change: page.change.0,
         version: version.get(),
         manifest: match &in_force {
             Some(in_force) if sender < version => in_force.manifest.encode().into(),
             _ => Bytes::new(),
         },
-        documents: wanted(in_force.as_deref(), &request.want),
-        homes: homes.iter().map(home_out).collect(),
+        documents: requested_documents(in_force.as_deref(), &request.want),
+        homes: homes.iter().map(encode_ownership).collect(),
         homes_change: homes_change.0,
-        suspects: suspects_out(&suspects),
+        suspects: encode_suspects(&suspects),
         suspects_change: suspects_change.0,
     };
     drop(view);
-    let asks = request.want.is_empty();
-    let worth = sender > version || request.homes_digest != shared.homes.digest();
-    (reply, asks && worth)
+    let is_gossip = request.want.is_empty();
+    let has_updates = sender > version || request.homes_digest != shared.homes.digest();
+    (reply, is_gossip && has_updates)
 }
--- a/src/peer/heads.rs
+++ b/src/peer/http_head.rs
@@ -9,7 +9,7 @@
 
 /// How long a body is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Length {
+pub(super) enum BodyLength {
     /// So many bytes.
     Known(usize),
     /// It comes in chunks up to an empty one.
@@ -19,94 +19,97 @@
 /// What a head says of what follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Framing {
-    length: Length,
+    length: BodyLength,
     /// Whether the connection is used again.
-    keep: bool,
+    keep_alive: bool,
 }
 
 /// The head of a request.
 #[derive(Debug)]
-pub(super) struct Request {
+pub(super) struct RequestHead {
     /// Its path.
     pub(super) path: Box<str>,
     /// The length of its body.
-    pub(super) length: Length,
+    pub(super) length: BodyLength,
     /// Whether another request may follow.
-    pub(super) keep: bool,
+    pub(super) keep_alive: bool,
 }
 
 /// The head of an answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answer {
+pub(super) struct ResponseHead {
     /// Its status.
     pub(super) status: StatusCode,
     /// The length of its body.
-    pub(super) length: Length,
+    pub(super) length: BodyLength,
     /// Whether another request may follow.
-    pub(super) keep: bool,
+    pub(super) keep_alive: bool,
 }
 
-pub(super) fn wrong(what: &'static str) -> io::Error {
+pub(super) fn invalid_data(what: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
 fn framing(version: Option<u8>, headers: &[httparse::Header<'_>]) -> io::Result<Framing> {
     let mut framing = Framing {
-        length: Length::Known(0),
-        keep: version == Some(1),
+        length: BodyLength::Known(0),
+        keep_alive: version == Some(1),
     };
     for header in headers {
         let value = header.value.trim_ascii();
         if header.name.eq_ignore_ascii_case("content-length") {
             let length = std::str::from_utf8(value).ok().and_then(|n| n.parse().ok());
-            framing.length = Length::Known(length.ok_or_else(|| wrong("a length is no number"))?);
+            framing.length =
+                BodyLength::Known(length.ok_or_else(|| invalid_data("a length is no number"))?);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(wrong("an encoding is not known"));
+                return Err(invalid_data("an encoding is not known"));
             }
-            framing.length = Length::Chunked;
+            framing.length = BodyLength::Chunked;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            framing.keep &= !value.eq_ignore_ascii_case(b"close");
+            framing.keep_alive &= !value.eq_ignore_ascii_case(b"close");
         }
     }
     Ok(framing)
 }
 
 /// Reads the head of a request, if it is there whole, and its length.
-pub(super) fn parse_request(bytes: &[u8]) -> io::Result<Option<(usize, Request)>> {
+pub(super) fn parse_request(bytes: &[u8]) -> io::Result<Option<(usize, RequestHead)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let parsed = head.parse(bytes);
-    let httparse::Status::Complete(length) = parsed.map_err(|_| wrong("no head of a request"))?
+    let httparse::Status::Complete(length) =
+        parsed.map_err(|_| invalid_data("no head of a request"))?
     else {
         return Ok(None);
     };
     let framing = framing(head.version, head.headers)?;
-    let request = Request {
+    let request = RequestHead {
         path: head.path.unwrap_or_default().into(),
         length: framing.length,
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
     Ok(Some((length, request)))
 }
 
 /// Reads the head of an answer, if it is there whole, and its length.
-pub(super) fn parse_answer(bytes: &[u8]) -> io::Result<Option<(usize, Answer)>> {
+pub(super) fn parse_response(bytes: &[u8]) -> io::Result<Option<(usize, ResponseHead)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let parsed = head.parse(bytes);
-    let httparse::Status::Complete(length) = parsed.map_err(|_| wrong("no head of an answer"))?
+    let httparse::Status::Complete(length) =
+        parsed.map_err(|_| invalid_data("no head of an answer"))?
     else {
         return Ok(None);
     };
     let framing = framing(head.version, head.headers)?;
     let status = StatusCode::from_u16(head.code.unwrap_or_default());
-    let answer = Answer {
-        status: status.map_err(|_| wrong("no status"))?,
+    let response = ResponseHead {
+        status: status.map_err(|_| invalid_data("no status"))?,
         length: framing.length,
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
-    Ok(Some((length, answer)))
+    Ok(Some((length, response)))
 }
 
 /// Writes the head of a request with a body of so many bytes.
@@ -115,10 +118,10 @@
 }
 
 /// Writes the head of an answer.
-pub(super) fn answer_head(status: StatusCode, length: Length) -> Vec<u8> {
+pub(super) fn response_head(status: StatusCode, length: BodyLength) -> Vec<u8> {
     let framing = match length {
-        Length::Known(length) => format!("content-length: {length}"),
-        Length::Chunked => "transfer-encoding: chunked".to_owned(),
+        BodyLength::Known(length) => format!("content-length: {length}"),
+        BodyLength::Chunked => "transfer-encoding: chunked".to_owned(),
     };
     format!("HTTP/1.1 {status}\r\n{framing}\r\n\r\n").into()
 }
--- a/src/peer/end.rs
+++ b/src/peer/http_stream.rs
@@ -12,28 +12,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::call::MAX_MESSAGE;
-use super::heads::{Answer, Length, Request, parse_answer, parse_request, wrong};
+use super::call::MAX_MESSAGE_BYTES;
+use super::http_head::{
+    BodyLength, RequestHead, ResponseHead, invalid_data, parse_request, parse_response,
+};
 
 /// Largest head, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Bytes that are read at first; most messages have fewer.
-const FIRST: usize = 4 * 1024;
+const READ_BYTES: usize = 4 * 1024;
 /// Longest line before a chunk, in bytes.
-const MAX_LINE: usize = 64;
+const MAX_CHUNK_LINE_BYTES: usize = 64;
 /// Ends a line.
-const END: &[u8] = b"\r\n";
+const LINE_END: &[u8] = b"\r\n";
 /// Ends a body in chunks.
-const LAST: &[u8] = b"0\r\n\r\n";
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// One end of a connection, with what was read beyond the last message.
 #[derive(Debug)]
-pub(super) struct End {
+pub(super) struct HttpStream {
     stream: TcpStream,
     buffer: BytesMut,
 }
 
-impl End {
+impl HttpStream {
     /// Takes a connection on which nothing was read yet.
     pub(super) fn new(stream: TcpStream) -> Self {
         let buffer = BytesMut::new();
@@ -41,12 +43,12 @@
     }
 
     /// Gives the connection back if nothing was read beyond the last message.
-    pub(super) fn into_clean(self) -> Option<TcpStream> {
+    pub(super) fn into_idle(self) -> Option<TcpStream> {
         self.buffer.is_empty().then_some(self.stream)
     }
 
     /// Waits until there is something to read, without room for it yet.
-    pub(super) async fn readable(&self) -> io::Result<()> {
+    pub(super) async fn wait_readable(&self) -> io::Result<()> {
         if self.buffer.is_empty() {
             poll_fn(|cx| self.stream.poll_read_ready(cx)).await?;
         }
@@ -55,7 +57,7 @@
 
     /// Waits until the other end closes the connection; for ever if it sends
     /// anything more instead.
-    pub(super) async fn closed(&self) {
+    pub(super) async fn wait_closed(&self) {
         let mut next = [0];
         let next = poll_fn(|cx| self.stream.poll_peek(cx, &mut ReadBuf::new(&mut next)));
         if !self.buffer.is_empty() || matches!(next.await, Ok(1..)) {
@@ -64,13 +66,13 @@
     }
 
     /// Gives up the room of what was read, if nothing is left to be read.
-    pub(super) fn release(&mut self) {
+    pub(super) fn release_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    async fn more(&mut self, room: usize) -> io::Result<()> {
+    async fn read_more(&mut self, room: usize) -> io::Result<()> {
         self.buffer.reserve(room);
         match self.stream.read_buf(&mut self.buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -83,13 +85,13 @@
     /// # Errors
     ///
     /// Fails if the connection does, or if what comes is no such head.
-    pub(super) async fn read_request(&mut self) -> io::Result<Option<Request>> {
+    pub(super) async fn read_request(&mut self) -> io::Result<Option<RequestHead>> {
         loop {
             if let Some((length, request)) = parse_request(&self.buffer)? {
                 self.buffer.advance(length);
                 return Ok(Some(request));
             }
-            match self.more_of_head().await {
+            match self.read_more_head().await {
                 Err(_) if self.buffer.is_empty() => return Ok(None),
                 more => more?,
             }
@@ -101,21 +103,21 @@
     /// # Errors
     ///
     /// Fails if the connection does, or if what comes is no such head.
-    pub(super) async fn read_answer(&mut self) -> io::Result<Answer> {
+    pub(super) async fn read_response(&mut self) -> io::Result<ResponseHead> {
         loop {
-            if let Some((length, answer)) = parse_answer(&self.buffer)? {
+            if let Some((length, answer)) = parse_response(&self.buffer)? {
                 self.buffer.advance(length);
                 return Ok(answer);
             }
-            self.more_of_head().await?;
+            self.read_more_head().await?;
         }
     }
 
-    async fn more_of_head(&mut self) -> io::Result<()> {
-        if self.buffer.len() >= MAX_HEAD {
-            return Err(wrong("the head is too long"));
+    async fn read_more_head(&mut self) -> io::Result<()> {
+        if self.buffer.len() >= MAX_HEAD_BYTES {
+            return Err(invalid_data("the head is too long"));
         }
-        self.more(FIRST).await
+        self.read_more(READ_BYTES).await
     }
 
     /// Reads a body whole.
@@ -123,15 +125,15 @@
     /// # Errors
     ///
     /// Fails if the connection does, or if the body is too long.
-    pub(super) async fn read_body(&mut self, length: Length) -> io::Result<Bytes> {
+    pub(super) async fn read_body(&mut self, length: BodyLength) -> io::Result<Bytes> {
         let length = match length {
-            Length::Known(length) if length <= MAX_MESSAGE => length,
-            Length::Known(_) => return Err(wrong("the body is too long")),
-            Length::Chunked => return self.read_chunks().await,
+            BodyLength::Known(length) if length <= MAX_MESSAGE_BYTES => length,
+            BodyLength::Known(_) => return Err(invalid_data("the body is too long")),
+            BodyLength::Chunked => return self.read_chunks().await,
         };
         while self.buffer.len() < length {
             let rest = length - self.buffer.len();
-            self.more(rest).await?;
+            self.read_more(rest).await?;
         }
         Ok(self.buffer.split_to(length).freeze())
     }
@@ -140,8 +142,8 @@
         let mut whole = BytesMut::new();
         while let Some(chunk) = self.next_chunk().await? {
             whole.extend_from_slice(&chunk);
-            if whole.len() > MAX_MESSAGE {
-                return Err(wrong("the body is too long"));
+            if whole.len() > MAX_MESSAGE_BYTES {
+                return Err(invalid_data("the body is too long"));
             }
         }
         Ok(whole.freeze())
@@ -155,29 +157,29 @@
     pub(super) async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         let length = loop {
             let parsed = httparse::parse_chunk_size(&self.buffer);
-            match parsed.map_err(|_| wrong("no chunk"))? {
+            match parsed.map_err(|_| invalid_data("no chunk"))? {
                 httparse::Status::Complete((line, length)) => {
                     self.buffer.advance(line);
                     break usize::try_from(length).unwrap_or(usize::MAX);
                 }
-                httparse::Status::Partial if self.buffer.len() > MAX_LINE => {
-                    return Err(wrong("no chunk"));
+                httparse::Status::Partial if self.buffer.len() > MAX_CHUNK_LINE_BYTES => {
+                    return Err(invalid_data("no chunk"));
                 }
-                httparse::Status::Partial => self.more(FIRST).await?,
+                httparse::Status::Partial => self.read_more(READ_BYTES).await?,
             }
         };
-        if length > MAX_MESSAGE {
-            return Err(wrong("the chunk is too long"));
+        if length > MAX_MESSAGE_BYTES {
+            return Err(invalid_data("the chunk is too long"));
         }
-        while self.buffer.len() < length + END.len() {
-            let rest = length + END.len() - self.buffer.len();
-            self.more(rest).await?;
+        while self.buffer.len() < length + LINE_END.len() {
+            let rest = length + LINE_END.len() - self.buffer.len();
+            self.read_more(rest).await?;
         }
         let chunk = self.buffer.split_to(length).freeze();
-        if !self.buffer.starts_with(END) {
-            return Err(wrong("a chunk has no end"));
+        if !self.buffer.starts_with(LINE_END) {
+            return Err(invalid_data("a chunk has no end"));
         }
-        self.buffer.advance(END.len());
+        self.buffer.advance(LINE_END.len());
         Ok((length > 0).then_some(chunk))
     }
 
@@ -189,8 +191,8 @@
     pub(super) async fn send(&mut self, head: &[u8], body: &[u8]) -> Result<(), SendError> {
         let mut rest = Buf::chain(head, body);
         while rest.has_remaining() {
-            let sent = rest.remaining() < head.len() + body.len();
-            let failed = |cause| SendError { sent, cause };
+            let any_sent = rest.remaining() < head.len() + body.len();
+            let failed = |cause| SendError { any_sent, cause };
             match self.stream.write_buf(&mut rest).await {
                 Ok(0) => return Err(failed(io::ErrorKind::WriteZero.into())),
                 Ok(_) => {}
@@ -207,10 +209,10 @@
     /// Fails if the connection does.
     pub(super) async fn send_chunk(&mut self, chunk: &[u8]) -> io::Result<()> {
         if chunk.is_empty() {
-            return self.stream.write_all(LAST).await;
+            return self.stream.write_all(LAST_CHUNK).await;
         }
         let line = format!("{:x}\r\n", chunk.len());
-        let mut whole = Buf::chain(Buf::chain(line.as_bytes(), chunk), END);
+        let mut whole = Buf::chain(Buf::chain(line.as_bytes(), chunk), LINE_END);
         self.stream.write_all_buf(&mut whole).await
     }
 }
@@ -219,7 +221,7 @@
 #[derive(Debug)]
 pub(super) struct SendError {
     /// Whether any byte has left.
-    pub(super) sent: bool,
+    pub(super) any_sent: bool,
     /// The cause.
     pub(super) cause: io::Error,
 }
--- a/src/peer/id.rs
+++ b/src/peer/id.rs
@@ -6,12 +6,12 @@
 use crate::model::AttemptId;
 
 /// Returns the bytes of an id as they stand in a message.
-pub(super) fn id_bytes(id: u128) -> Bytes {
+pub(super) fn encode_id(id: u128) -> Bytes {
     Bytes::copy_from_slice(&id.to_be_bytes())
 }
 
 /// Reads an id.
-pub(super) fn id_of(bytes: &[u8]) -> Result<u128, Error> {
+pub(super) fn decode_id(bytes: &[u8]) -> Result<u128, Error> {
     bytes
         .try_into()
         .map(u128::from_be_bytes)
@@ -19,6 +19,6 @@
 }
 
 /// Reads an attempt id.
-pub(super) fn attempt_of(bytes: &[u8]) -> Result<AttemptId, Error> {
-    id_of(bytes).map(AttemptId::new)
+pub(super) fn decode_attempt_id(bytes: &[u8]) -> Result<AttemptId, Error> {
+    decode_id(bytes).map(AttemptId::new)
 }
--- a/src/peer/ledger.rs
+++ b/src/peer/ledger.rs
@@ -4,7 +4,7 @@
 
 use http::HeaderMap;
 
-use super::convert::headers_out;
+use super::convert::encode_headers;
 use super::generated as wire;
 use super::pool::Pool;
 use crate::error::Error;
@@ -15,7 +15,7 @@
 /// How long the heir may take to answer one message.
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Entries sent in one message.
-const BATCH: usize = 256;
+const BATCH_ENTRIES: usize = 256;
 
 /// Hands the ledger of this instance, which has stopped starting keys, over
 /// to `heir`; returns whether it was taken whole.
@@ -26,12 +26,12 @@
     entries: Vec<(OnceKey, KeyState, u64)>,
     forgotten: MintTime,
 ) -> bool {
-    let Some(mut client) = pool.get(heir.address) else {
+    let Some(mut client) = pool.client(heir.address) else {
         return false;
     };
-    let mut messages: Vec<wire::LedgerEntry> = entries.iter().map(entry_out).collect();
+    let mut messages: Vec<wire::LedgerEntry> = entries.iter().map(encode_entry).collect();
     loop {
-        let rest = messages.split_off(messages.len().min(BATCH));
+        let rest = messages.split_off(messages.len().min(BATCH_ENTRIES));
         let request = wire::HandOverRequest {
             from: shared.instance.to_string(),
             heir: heir.to_string(),
@@ -52,7 +52,7 @@
     }
 }
 
-fn entry_out((key, state, hash): &(OnceKey, KeyState, u64)) -> wire::LedgerEntry {
+fn encode_entry((key, state, hash): &(OnceKey, KeyState, u64)) -> wire::LedgerEntry {
     let mut entry = wire::LedgerEntry {
         once_key: key.to_string(),
         body_hash: *hash,
@@ -61,12 +61,12 @@
     match state {
         KeyState::Claimed => entry.state = CLAIMED.into(),
         KeyState::Running | KeyState::Unknown => entry.state = UNKNOWN.into(),
-        KeyState::Done(kept) => {
+        KeyState::Done(stored) => {
             entry.state = DONE.into();
-            entry.status = u32::from(kept.status);
-            entry.headers = headers_out(&kept_headers(kept));
-            entry.body = kept.body.clone().unwrap_or_default();
-            entry.whole = kept.body.is_some();
+            entry.status = u32::from(stored.status);
+            entry.headers = encode_headers(&stored_headers(stored));
+            entry.body = stored.body.clone().unwrap_or_default();
+            entry.whole = stored.body.is_some();
         }
     }
     entry
@@ -76,8 +76,9 @@
 const UNKNOWN: &str = "unknown";
 const DONE: &str = "done";
 
-fn kept_headers(kept: &StoredAnswer) -> HeaderMap {
-    kept.headers
+fn stored_headers(stored: &StoredAnswer) -> HeaderMap {
+    stored
+        .headers
         .iter()
         .filter_map(|(name, value)| {
             let name = http::HeaderName::from_bytes(name.as_bytes()).ok()?;
@@ -88,7 +89,7 @@
 }
 
 /// Reads an entry of a ledger that is handed over.
-pub(super) fn entry_in(entry: wire::LedgerEntry) -> Result<(OnceKey, KeyState, u64), Error> {
+pub(super) fn decode_entry(entry: wire::LedgerEntry) -> Result<(OnceKey, KeyState, u64), Error> {
     let key = entry.once_key.parse()?;
     let state = match entry.state.as_str() {
         // A key that was claimed by the instance that stops cannot be started
--- a/src/peer/listen.rs
+++ b/src/peer/listen.rs
@@ -19,9 +19,9 @@
 use tokio::task::JoinSet;
 use tonic::body::Body;
 
-use super::call::MAX_MESSAGE;
+use super::call::MAX_MESSAGE_BYTES;
 use super::generated::peer_server::PeerServer;
-use super::server::Peers;
+use super::server::PeerService;
 use crate::error::Error;
 
 /// Calls under way on one connection.
@@ -32,13 +32,13 @@
 /// What a connection of streams begins with.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 /// Pause between two looks at a connection that has begun too little.
-const LOOK: Duration = Duration::from_millis(5);
+const PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Answers streams by `tonic`.
 #[derive(Clone)]
-struct Streams(PeerServer<Peers>);
+struct StreamService(PeerServer<PeerService>);
 
-impl Service<Request<Incoming>> for Streams {
+impl Service<Request<Incoming>> for StreamService {
     type Response = Response<Body>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Response<Body>, Infallible>> + Send>>;
@@ -50,17 +50,17 @@
 }
 
 /// What all connections of other daemons share.
-struct Served {
-    peers: Arc<Peers>,
-    streams: Streams,
-    builder: auto::Builder<TokioExecutor>,
+struct ConnectionHandler {
+    peers: Arc<PeerService>,
+    streams: StreamService,
+    http_builder: auto::Builder<TokioExecutor>,
 }
 
-impl Served {
+impl ConnectionHandler {
     async fn connection(&self, stream: TcpStream, mut stop: watch::Receiver<()>) {
         // That nobody is left to stop it is as good as being told.
         let stop = async move { stop.changed().await.unwrap_or_default() };
-        let result = match begins_streams(&stream).await {
+        let result = match is_http2(&stream).await {
             // On the heap, since plain connections are many and need less room.
             Ok(true) => Box::pin(self.streams(stream, stop)).await,
             Ok(false) => {
@@ -80,7 +80,9 @@
         stop: impl Future<Output = ()>,
     ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let service = self.streams.clone();
-        let connection = self.builder.serve_connection(TokioIo::new(stream), service);
+        let connection = self
+            .http_builder
+            .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         tokio::select! {
             biased;
@@ -93,30 +95,30 @@
     /// Serves plain requests; once the daemon stops, only the one under way.
     async fn plain(&self, stream: TcpStream, stop: impl Future<Output = ()>) {
         let busy = AtomicBool::new(false);
-        let mut served = std::pin::pin!(self.peers.serve_plain(stream, &busy));
+        let mut serving = std::pin::pin!(self.peers.serve_plain(stream, &busy));
         tokio::select! {
             biased;
-            () = served.as_mut() => return,
+            () = serving.as_mut() => return,
             () = stop => {}
         }
         if busy.load(Ordering::Relaxed) {
-            served.await;
+            serving.await;
         }
     }
 }
 
 /// Tells whether a connection begins as one of streams.
-async fn begins_streams(stream: &TcpStream) -> std::io::Result<bool> {
-    let mut begin = [0; PREFACE.len()];
+async fn is_http2(stream: &TcpStream) -> std::io::Result<bool> {
+    let mut start = [0; PREFACE.len()];
     loop {
-        let count = stream.peek(&mut begin).await?;
-        if count == 0 || begin[..count] != PREFACE[..count] {
+        let count = stream.peek(&mut start).await?;
+        if count == 0 || start[..count] != PREFACE[..count] {
             return Ok(false);
         }
         if count == PREFACE.len() {
             return Ok(true);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PEEK_INTERVAL).await;
     }
 }
 
@@ -127,25 +129,29 @@
 /// Fails if the address cannot be bound.
 pub async fn serve_peers(
     address: SocketAddr,
-    peers: Peers,
+    peers: PeerService,
     stop: oneshot::Receiver<()>,
 ) -> Result<tokio::task::JoinHandle<()>, Error> {
     let failed = |e| Error::io(format!("listen on {address}"), e);
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let peers = Arc::new(peers);
     let streams = PeerServer::from_arc(Arc::clone(&peers))
-        .max_decoding_message_size(MAX_MESSAGE)
-        .max_encoding_message_size(MAX_MESSAGE);
-    let served = Served {
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
+    let handler = ConnectionHandler {
         peers,
-        streams: Streams(streams),
-        builder: builder(),
+        streams: StreamService(streams),
+        http_builder: http_builder(),
     };
-    Ok(tokio::spawn(serve(listener, Arc::new(served), stop)))
+    Ok(tokio::spawn(serve(listener, Arc::new(handler), stop)))
 }
 
-async fn serve(listener: TcpListener, served: Arc<Served>, stop: oneshot::Receiver<()>) {
-    let (stopping, told) = watch::channel(());
+async fn serve(
+    listener: TcpListener,
+    handler: Arc<ConnectionHandler>,
+    stop: oneshot::Receiver<()>,
+) {
+    let (stopping, stopped) = watch::channel(());
     let mut connections = JoinSet::new();
     let mut stop = std::pin::pin!(stop);
     loop {
@@ -154,10 +160,10 @@
             accepted = listener.accept() => accepted,
             _ = &mut stop => break,
         };
-        match accepted.and_then(prepared) {
+        match accepted.and_then(with_nodelay) {
             Ok(stream) => {
-                let (served, told) = (Arc::clone(&served), told.clone());
-                connections.spawn(async move { served.connection(stream, told).await });
+                let (handler, stopped) = (Arc::clone(&handler), stopped.clone());
+                connections.spawn(async move { handler.connection(stream, stopped).await });
             }
             Err(e) => {
                 spdlog::warn!("cannot accept a daemon", kv: { cause = e.to_string().as_str() });
@@ -167,21 +173,21 @@
     }
     drop(listener);
     // Calls under way are answered; nothing follows them.
-    served.peers.stopping.store(true, Ordering::Relaxed);
+    handler.peers.stopping.store(true, Ordering::Relaxed);
     stopping.send_replace(());
     while connections.join_next().await.is_some() {}
 }
 
-fn builder() -> auto::Builder<TokioExecutor> {
-    let mut builder = auto::Builder::new(TokioExecutor::new()).http2_only();
-    builder
+fn http_builder() -> auto::Builder<TokioExecutor> {
+    let mut http_builder = auto::Builder::new(TokioExecutor::new()).http2_only();
+    http_builder
         .http2()
         .timer(TokioTimer::new())
         .max_concurrent_streams(MAX_STREAMS);
-    builder
+    http_builder
 }
 
-fn prepared((stream, _): (TcpStream, SocketAddr)) -> std::io::Result<TcpStream> {
+fn with_nodelay((stream, _): (TcpStream, SocketAddr)) -> std::io::Result<TcpStream> {
     // Messages are small and each is waited for.
     stream.set_nodelay(true)?;
     Ok(stream)
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -7,16 +7,16 @@
 use crate::tables::Home;
 
 /// Writes a home row.
-pub(super) fn home_out((service, home): &(ServiceName, Home)) -> wire::HomeRow {
+pub(super) fn encode_ownership((service, ownership): &(ServiceName, Home)) -> wire::HomeRow {
     wire::HomeRow {
         key: service.to_string(),
-        revision: home.revision.0,
-        content: home.row.encode().into(),
+        revision: ownership.revision.0,
+        content: ownership.row.encode().into(),
     }
 }
 
 /// Writes what is known of a member.
-pub(super) fn member_out(member: &Member) -> wire::Member {
+pub(super) fn encode_member(member: &Member) -> wire::Member {
     wire::Member {
         instance: member.instance.to_string(),
         centre: member.centre.to_string(),
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Fails if a field has no valid value.
-pub(super) fn member_in(member: &wire::Member) -> Result<Member, Error> {
+pub(super) fn decode_member(member: &wire::Member) -> Result<Member, Error> {
     Ok(Member {
         instance: member.instance.parse()?,
         centre: member.centre.parse()?,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -9,98 +9,106 @@
 use crate::error::Error;
 
 /// The key of the headers in the head of a call.
-const CALL_HEADERS: u8 = key(14);
+const CALL_HEADERS_KEY: u8 = bytes_key(14);
 /// The key of the headers in the head of an answer.
-const ANSWER_HEADERS: u8 = key(3);
+const ANSWER_HEADERS_KEY: u8 = bytes_key(3);
 /// The key of the head in a frame of an answer.
-const ANSWER_HEAD: u8 = key(1);
+const ANSWER_HEAD_KEY: u8 = bytes_key(1);
 /// The keys of a header's name and value.
-const NAME: u8 = key(1);
-const VALUE: u8 = key(2);
+const NAME_KEY: u8 = bytes_key(1);
+const VALUE_KEY: u8 = bytes_key(2);
 
 /// Returns the key of a field of bytes, whose tag is below 16.
-const fn key(tag: u8) -> u8 {
+const fn bytes_key(tag: u8) -> u8 {
     tag << 3 | 2
 }
 
 /// Writes a message behind its length, and the payload after it.
-pub(super) fn join(message: &impl Message, payload: &[u8]) -> Bytes {
+pub(super) fn encode_body(message: &impl Message, payload: &[u8]) -> Bytes {
     let length = message.encoded_len();
-    let mut whole = room(length, payload);
-    put_length(length, &mut whole);
-    put(message, &mut whole);
-    whole.extend_from_slice(payload);
-    whole.freeze()
+    let mut body = buffer_for(length, payload);
+    append_length(length, &mut body);
+    append_message(message, &mut body);
+    body.extend_from_slice(payload);
+    body.freeze()
 }
 
 /// Writes the head of a call, which has no headers of its own, with `headers`,
 /// and the payload after it.
-pub(super) fn join_call(head: &wire::CallHead, headers: &HeaderMap, payload: &[u8]) -> Bytes {
+pub(super) fn encode_call_body(
+    head: &wire::CallHead,
+    headers: &HeaderMap,
+    payload: &[u8],
+) -> Bytes {
     let length = head.encoded_len() + headers_len(headers);
-    let mut whole = room(length, payload);
-    put_length(length, &mut whole);
-    put(head, &mut whole);
-    put_headers(CALL_HEADERS, headers, &mut whole);
-    whole.extend_from_slice(payload);
-    whole.freeze()
+    let mut body = buffer_for(length, payload);
+    append_length(length, &mut body);
+    append_message(head, &mut body);
+    append_headers(CALL_HEADERS_KEY, headers, &mut body);
+    body.extend_from_slice(payload);
+    body.freeze()
 }
 
 /// Writes a frame with the head of an answer, which has no headers of its own,
 /// with `headers`, and the payload after it.
-pub(super) fn join_answer(head: &wire::AnswerHead, headers: &HeaderMap, payload: &[u8]) -> Bytes {
-    let inner = head.encoded_len() + headers_len(headers);
-    let length = part_len(inner);
-    let mut whole = room(length, payload);
-    put_length(length, &mut whole);
-    begin_part(ANSWER_HEAD, inner, &mut whole);
-    put(head, &mut whole);
-    put_headers(ANSWER_HEADERS, headers, &mut whole);
-    whole.extend_from_slice(payload);
-    whole.freeze()
+pub(super) fn encode_answer_body(
+    head: &wire::AnswerHead,
+    headers: &HeaderMap,
+    payload: &[u8],
+) -> Bytes {
+    let head_length = head.encoded_len() + headers_len(headers);
+    let length = field_len(head_length);
+    let mut body = buffer_for(length, payload);
+    append_length(length, &mut body);
+    begin_field(ANSWER_HEAD_KEY, head_length, &mut body);
+    append_message(head, &mut body);
+    append_headers(ANSWER_HEADERS_KEY, headers, &mut body);
+    body.extend_from_slice(payload);
+    body.freeze()
 }
 
-fn room(length: usize, payload: &[u8]) -> BytesMut {
+fn buffer_for(length: usize, payload: &[u8]) -> BytesMut {
     BytesMut::with_capacity(length_delimiter_len(length) + length + payload.len())
 }
 
-fn put(message: &impl Message, to: &mut BytesMut) {
+fn append_message(message: &impl Message, to: &mut BytesMut) {
     message
         .encode(to)
         .expect("a buffer that grows takes any message");
 }
 
-fn put_length(length: usize, to: &mut BytesMut) {
+fn append_length(length: usize, to: &mut BytesMut) {
     encode_varint(length as u64, to);
 }
 
 /// Returns the bytes that a part of `length` bytes takes with its key.
-fn part_len(length: usize) -> usize {
+fn field_len(length: usize) -> usize {
     1 + length_delimiter_len(length) + length
 }
 
-fn begin_part(key: u8, length: usize, to: &mut BytesMut) {
+fn begin_field(key: u8, length: usize, to: &mut BytesMut) {
     to.put_u8(key);
-    put_length(length, to);
+    append_length(length, to);
 }
 
 fn header_len(name: &[u8], value: &[u8]) -> usize {
-    part_len(name.len()) + part_len(value.len())
+    field_len(name.len()) + field_len(value.len())
 }
 
 fn headers_len(headers: &HeaderMap) -> usize {
     let each = headers.iter();
-    each.map(|(name, value)| part_len(header_len(name.as_ref(), value.as_bytes())))
+    each.map(|(name, value)| field_len(header_len(name.as_ref(), value.as_bytes())))
         .sum()
 }
 
 /// Writes headers as they stand, without a message made of each.
-fn put_headers(key: u8, headers: &HeaderMap, to: &mut BytesMut) {
+fn append_headers(key: u8, headers: &HeaderMap, to: &mut BytesMut) {
     for (name, value) in headers {
         let (name, value): (&[u8], &[u8]) = (name.as_ref(), value.as_bytes());
-        begin_part(key, header_len(name, value), to);
-        begin_part(NAME, name.len(), to);
+        begin_field(key, header_len(name, value), to);
+        begin_field(NAME_KEY, name.len(), to);
         to.extend_from_slice(name);
-        begin_part(VALUE, value.len(), to);
+        begin_field(VALUE_KEY, value.len(), to);
         to.extend_from_slice(value);
     }
 }
@@ -110,6 +118,6 @@
 /// # Errors
 ///
 /// Fails if the body does not begin with a message.
-pub(super) fn take<M: Message + Default>(body: &mut Bytes) -> Result<M, Error> {
+pub(super) fn take_message<M: Message + Default>(body: &mut Bytes) -> Result<M, Error> {
     M::decode_length_delimited(body).map_err(|e| Error::value("message", e.to_string()))
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -4,13 +4,11 @@
 //! is one message there and one back, go as plain HTTP requests, which take half
 //! of the processor time.
 
-mod ask;
 mod call;
+mod checksum;
 mod client;
 mod convert;
 mod credit;
-mod direct;
-mod end;
 #[allow(
     missing_docs,
     unreachable_pub,
@@ -18,30 +16,32 @@
     reason = "generated from proto/peer.proto"
 )]
 mod generated;
-mod heads;
+mod gossip;
+mod http_head;
+mod http_stream;
 mod id;
 mod ledger;
-mod lines;
 mod listen;
-mod measure;
 mod member;
 mod message;
-mod news;
-mod plain;
+mod notice;
+mod plain_call;
+mod plain_client;
+mod plain_pool;
+mod plain_server;
 mod pool;
+mod query;
 mod rollout;
-mod served;
 mod server;
 mod suspect;
-mod told;
 
-pub use ask::ExchangeError;
-pub use call::Message;
+pub use call::OutgoingCall;
 pub use client::{inquire, send};
-pub use credit::borrow;
+pub use credit::request_credit;
+pub use gossip::{ExchangeOutcome, exchange, query_version};
 pub use ledger::hand_over;
 pub use listen::serve_peers;
-pub use news::{Exchanged, exchange, version_of};
 pub use pool::Pool;
-pub(crate) use rollout::{known_documents, put_in_force};
-pub use server::Peers;
+pub use query::ExchangeError;
+pub(crate) use rollout::{apply_configuration, known_documents};
+pub use server::PeerService;
--- a/src/peer/direct.rs
+++ b/src/peer/plain_call.rs
@@ -8,13 +8,13 @@
 use bytes::Bytes;
 use tokio::time::timeout_at;
 
-use super::call::SLACK;
-use super::convert::{refusal_in, reply_in};
+use super::call::ANSWER_SLACK;
+use super::convert::{decode_refusal, decode_reply};
 use super::generated as wire;
 use super::generated::answer_frame::Frame as AnswerPart;
-use super::id::id_bytes;
-use super::lines::Failed;
-use super::message::join_call;
+use super::id::encode_id;
+use super::message::encode_call_body;
+use super::plain_pool::RequestError;
 use super::pool::Pool;
 use crate::call::{Attempt, CallHead, Planned, Reason, Refusal, Reply, Sent};
 use crate::model::Instance;
@@ -34,21 +34,21 @@
     head: wire::CallHead,
     body: Bytes,
 ) -> Result<Reply, Refusal> {
-    let whole = join_call(&head, &call.headers, &body);
+    let request = encode_call_body(&head, &call.headers, &body);
     drop((head, body));
     let client = pool.plain(instance.address);
     let attempt = attempt.send();
-    match timeout_at(call.deadline + SLACK, client.exchange(whole)).await {
-        Ok(Ok((part, payload))) => answered(attempt, part, payload),
+    match timeout_at(call.deadline + ANSWER_SLACK, client.call(request)).await {
+        Ok(Ok((part, payload))) => read_answer(attempt, part, payload),
         Ok(Err(failed)) => {
             pool.replace(instance.address);
-            Err(lost(attempt, failed))
+            Err(refuse_failed(attempt, failed))
         }
         Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
     }
 }
 
-fn lost(attempt: Attempt<Sent>, failed: Failed) -> Refusal {
+fn refuse_failed(attempt: Attempt<Sent>, failed: RequestError) -> Refusal {
     if failed.connected {
         attempt.lose(Reason::Cut, failed.cause)
     } else {
@@ -56,23 +56,23 @@
     }
 }
 
-fn answered(
+fn read_answer(
     attempt: Attempt<Sent>,
     part: Option<AnswerPart>,
     payload: Payload,
 ) -> Result<Reply, Refusal> {
     let mut head = match part {
         Some(AnswerPart::Head(head)) => head,
-        Some(AnswerPart::Refusal(refusal)) => return Err(refusal_in(attempt, &refusal)),
+        Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt, &refusal)),
         _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
     };
-    if head.attempt != id_bytes(attempt.id().get()) {
+    if head.attempt != encode_id(attempt.id().get()) {
         return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
     }
     if let Payload::Whole(body) = &payload {
         head.body = body.clone();
     }
-    let head = match reply_in(head) {
+    let head = match decode_reply(head) {
         Ok((head, _)) => head,
         Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
     };
--- a/src/peer/plain.rs
+++ b/src/peer/plain_client.rs
@@ -8,97 +8,98 @@
 use http::StatusCode;
 use tokio::sync::mpsc;
 
-use super::call::{CONNECT, PATH};
-use super::end::End;
+use super::call::{CALL_PATH, CONNECT_TIMEOUT};
 use super::generated as wire;
 use super::generated::answer_frame::Frame as AnswerPart;
-use super::heads::Length;
-use super::lines::{Failed, Lines};
-use super::message::{join, take};
+use super::http_head::BodyLength;
+use super::http_stream::HttpStream;
+use super::message::{encode_body, take_message};
+use super::plain_pool::{PlainPool, RequestError};
 use crate::web::{Chunks, Cut, Dial, Payload};
 
 /// How long sent bytes may go without an acknowledgement of the other VM; its
 /// daemon may pause, its network stack does not.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Makes plain requests to one daemon.
 #[derive(Clone, Debug)]
 pub(super) struct PlainClient {
-    lines: Arc<Lines>,
+    connections: Arc<PlainPool>,
 }
 
 impl PlainClient {
     /// Makes a client of the daemon at `address` whose connections go out from
     /// `own`.
-    pub(super) fn new(address: SocketAddr, own: IpAddr) -> Self {
+    pub(super) fn new(address: SocketAddr, local_ip: IpAddr) -> Self {
         let dial = Dial {
             address,
-            own: Some(own),
-            timeout: CONNECT,
-            unacknowledged: Some(UNACKNOWLEDGED),
+            own: Some(local_ip),
+            timeout: CONNECT_TIMEOUT,
+            unacknowledged: Some(ACK_TIMEOUT),
         };
         Self {
-            lines: Arc::new(Lines::new(dial)),
+            connections: Arc::new(PlainPool::new(dial)),
         }
     }
 
     /// Sends a message and reads the one that answers it.
-    pub(super) async fn ask<A: prost::Message + Default>(
+    pub(super) async fn query<A: prost::Message + Default>(
         &self,
         path: &'static str,
         message: &impl prost::Message,
-    ) -> Result<A, AskError> {
-        let failed = |cause: &dyn std::fmt::Display| AskError::Failed(cause.to_string().into());
-        let request = join(message, &[]);
-        let answer = self.lines.request(path, &request).await;
-        let (answer, mut end) = answer.map_err(|e| AskError::Failed(e.cause))?;
-        let body = end.read_body(answer.length).await;
+    ) -> Result<A, QueryError> {
+        let failed = |cause: &dyn std::fmt::Display| QueryError::Failed(cause.to_string().into());
+        let request = encode_body(message, &[]);
+        let answer = self.connections.request(path, &request).await;
+        let (answer, mut http) = answer.map_err(|e| QueryError::Failed(e.cause))?;
+        let body = http.read_body(answer.length).await;
         let mut body = body.map_err(|e| failed(&e))?;
-        if answer.keep {
-            self.lines.put_back(end);
+        if answer.keep_alive {
+            self.connections.put_back(http);
         }
         if answer.status == StatusCode::NOT_FOUND {
-            return Err(AskError::Unknown);
+            return Err(QueryError::Unknown);
         }
-        take(&mut body).map_err(|e| failed(&e))
+        take_message(&mut body).map_err(|e| failed(&e))
     }
 
     /// Closes connections that have been idle for too long.
     pub(super) fn trim(&self) {
-        self.lines.trim();
+        self.connections.trim();
     }
 
     /// Sends a call and reads its answer: whole if its length is known, else up
     /// to its message.
-    pub(super) async fn exchange(
+    pub(super) async fn call(
         self,
         call: Bytes,
-    ) -> Result<(Option<AnswerPart>, Payload), Failed> {
-        let (answer, mut end) = self.lines.request(PATH, &call).await?;
+    ) -> Result<(Option<AnswerPart>, Payload), RequestError> {
+        let (answer, mut http) = self.connections.request(CALL_PATH, &call).await?;
         drop(call);
-        if answer.length == Length::Chunked {
-            return streamed(end).await;
+        if answer.length == BodyLength::Chunked {
+            return read_stream(http).await;
         }
-        let whole = end.read_body(answer.length).await;
-        let mut whole = whole.map_err(|e| Failed::lost(&e))?;
-        if answer.keep {
-            self.lines.put_back(end);
+        let whole = http.read_body(answer.length).await;
+        let mut whole = whole.map_err(|e| RequestError::no_answer(&e))?;
+        if answer.keep_alive {
+            self.connections.put_back(http);
         }
-        let frame: wire::AnswerFrame = take(&mut whole).map_err(|e| Failed::lost(&e))?;
+        let frame: wire::AnswerFrame =
+            take_message(&mut whole).map_err(|e| RequestError::no_answer(&e))?;
         Ok((frame.frame, Payload::Whole(whole)))
     }
 }
 
 /// Why a question has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum AskError {
+pub(super) enum QueryError {
     /// The other daemon knows no such question.
     Unknown,
     /// It did not answer, or not in the right words.
     Failed(Box<str>),
 }
 
-impl std::fmt::Display for AskError {
+impl std::fmt::Display for QueryError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unknown => f.write_str("the other daemon knows no such question"),
@@ -109,24 +110,28 @@
 
 /// Reads the message of an answer that comes in chunks, whose connection ends
 /// with it.
-async fn streamed(mut end: End) -> Result<(Option<AnswerPart>, Payload), Failed> {
-    let first = end.next_chunk().await.map_err(|e| Failed::lost(&e))?;
+async fn read_stream(mut http: HttpStream) -> Result<(Option<AnswerPart>, Payload), RequestError> {
+    let first = http
+        .next_chunk()
+        .await
+        .map_err(|e| RequestError::no_answer(&e))?;
     let mut first = first.unwrap_or_default();
-    let frame: wire::AnswerFrame = take(&mut first).map_err(|e| Failed::lost(&e))?;
+    let frame: wire::AnswerFrame =
+        take_message(&mut first).map_err(|e| RequestError::no_answer(&e))?;
     let (sender, chunks) = Chunks::channel();
-    tokio::spawn(pump_in(end, first, sender));
+    tokio::spawn(receive_chunks(http, first, sender));
     let length = None;
     Ok((frame.frame, Payload::Stream { length, chunks }))
 }
 
 /// Takes a streamed answer in; the end of the chunks says that it is whole.
-async fn pump_in(mut end: End, first: Bytes, to: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn receive_chunks(mut http: HttpStream, first: Bytes, to: mpsc::Sender<Result<Bytes, Cut>>) {
     if !first.is_empty() && to.send(Ok(first)).await.is_err() {
         return;
     }
     loop {
         let next = tokio::select! {
-            next = end.next_chunk() => next,
+            next = http.next_chunk() => next,
             () = to.closed() => return,
         };
         let item = next.map(Option::unwrap_or_default).map_err(|_| Cut);
--- a/src/peer/served.rs
+++ b/src/peer/plain_server.rs
@@ -7,18 +7,18 @@
 use http::StatusCode;
 use tokio::net::TcpStream;
 
-use super::ask::EXCHANGE_PATH;
-use super::call::PATH;
-use super::convert::{refusal_out, reply_out};
+use super::call::CALL_PATH;
+use super::convert::{encode_refusal, encode_reply};
 use super::credit::{self, CREDIT_PATH};
-use super::end::End;
 use super::generated as wire;
 use super::generated::answer_frame::Frame as AnswerPart;
-use super::heads::{Length, answer_head};
-use super::id::attempt_of;
-use super::message::{join, join_answer, take};
-use super::news;
-use super::server::Peers;
+use super::gossip;
+use super::http_head::{BodyLength, response_head};
+use super::http_stream::HttpStream;
+use super::id::decode_attempt_id;
+use super::message::{encode_answer_body, encode_body, take_message};
+use super::query::EXCHANGE_PATH;
+use super::server::PeerService;
 use crate::call::{Attempt, Call, Refusal, Reply};
 use crate::model::{AttemptId, Retries};
 use crate::web::{Chunks, Cut, Payload};
@@ -36,16 +36,16 @@
 
 /// What a plain request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum RequestKind {
     Call,
     Credit,
     Exchange,
 }
 
-impl Asked {
-    fn of(path: &str) -> Option<Self> {
+impl RequestKind {
+    fn from_path(path: &str) -> Option<Self> {
         match path {
-            PATH => Some(Self::Call),
+            CALL_PATH => Some(Self::Call),
             CREDIT_PATH => Some(Self::Credit),
             EXCHANGE_PATH => Some(Self::Exchange),
             _ => None,
@@ -53,14 +53,14 @@
     }
 }
 
-impl Peers {
+impl PeerService {
     /// Answers plain requests on one connection until it ends, or until the
     /// daemon stops; `busy` is set while one is under way.
     pub(super) async fn serve_plain(&self, stream: TcpStream, busy: &AtomicBool) {
-        let mut end = End::new(stream);
-        while end.readable().await.is_ok() {
+        let mut http = HttpStream::new(stream);
+        while http.wait_readable().await.is_ok() {
             busy.store(true, Ordering::Relaxed);
-            let more = self.serve_one(&mut end).await;
+            let more = self.serve_request(&mut http).await;
             busy.store(false, Ordering::Relaxed);
             match more {
                 Ok(true) if !self.stopping.load(Ordering::Relaxed) => {}
@@ -75,38 +75,42 @@
 
     /// Serves one request; returns whether another may follow. If the other
     /// daemon closes the connection, the request is given up.
-    async fn serve_one(&self, end: &mut End) -> io::Result<bool> {
-        let Some(request) = end.read_request().await? else {
+    async fn serve_request(&self, http: &mut HttpStream) -> io::Result<bool> {
+        let Some(request) = http.read_request().await? else {
             return Ok(false);
         };
-        let body = end.read_body(request.length).await?;
+        let body = http.read_body(request.length).await?;
         // On the heap, so that idle connections need no room for it.
         let answer = Box::pin(self.answer_plain(&request.path, body));
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
-            () = end.closed() => return Ok(false),
+            () = http.wait_closed() => return Ok(false),
         };
-        end.release();
-        send(end, answer).await?;
-        Ok(request.keep)
+        http.release_buffer();
+        send(http, answer).await?;
+        Ok(request.keep_alive)
     }
 
     /// Answers a plain request.
     async fn answer_plain(&self, path: &str, body: Bytes) -> PlainAnswer {
-        let answer = match Asked::of(path) {
+        let answer = match RequestKind::from_path(path) {
             None => return PlainAnswer::Status(StatusCode::NOT_FOUND),
-            Some(Asked::Call) => self.answer_call(body).await,
-            Some(Asked::Credit) => message(body, |asked| credit::answer(&self.shared, asked)),
-            Some(Asked::Exchange) => message(body, |asked| news::answer(&self.shared, asked)),
+            Some(RequestKind::Call) => self.answer_call(body).await,
+            Some(RequestKind::Credit) => {
+                answer_message(body, |message| credit::answer(&self.shared, message))
+            }
+            Some(RequestKind::Exchange) => {
+                answer_message(body, |message| gossip::answer(&self.shared, message))
+            }
         };
         answer.unwrap_or(PlainAnswer::Status(StatusCode::BAD_REQUEST))
     }
 
     /// Answers a call; `None` if the body is none.
     async fn answer_call(&self, mut body: Bytes) -> Option<PlainAnswer> {
-        let message: wire::CallHead = take(&mut body).ok()?;
-        let attempt = attempt_of(&message.attempt).ok()?;
+        let message: wire::CallHead = take_message(&mut body).ok()?;
+        let attempt = decode_attempt_id(&message.attempt).ok()?;
         let account = Retries::new(message.account);
         let result = match self.read_head(message) {
             Ok(head) => {
@@ -125,68 +129,68 @@
                 Err(refusal)
             }
         };
-        Some(call_answer(attempt, result))
+        Some(encode_answer(attempt, result))
     }
 }
 
-async fn send(end: &mut End, answer: PlainAnswer) -> io::Result<()> {
+async fn send(http: &mut HttpStream, answer: PlainAnswer) -> io::Result<()> {
     let (status, body) = match answer {
         PlainAnswer::Status(status) => (status, Bytes::new()),
         PlainAnswer::Whole(body) => (StatusCode::OK, body),
-        PlainAnswer::Stream(first, rest) => return send_stream(end, first, rest).await,
+        PlainAnswer::Stream(first, rest) => return send_stream(http, first, rest).await,
     };
-    let head = answer_head(status, Length::Known(body.len()));
-    end.send(&head, &body).await.map_err(|e| e.cause)
+    let head = response_head(status, BodyLength::Known(body.len()));
+    http.send(&head, &body).await.map_err(|e| e.cause)
 }
 
 /// Sends an answer as it comes; its end is not sent if it is cut.
-async fn send_stream(end: &mut End, first: Bytes, mut rest: Chunks) -> io::Result<()> {
-    let head = answer_head(StatusCode::OK, Length::Chunked);
-    end.send(&head, &[]).await.map_err(|e| e.cause)?;
-    end.send_chunk(&first).await?;
+async fn send_stream(http: &mut HttpStream, first: Bytes, mut rest: Chunks) -> io::Result<()> {
+    let head = response_head(StatusCode::OK, BodyLength::Chunked);
+    http.send(&head, &[]).await.map_err(|e| e.cause)?;
+    http.send_chunk(&first).await?;
     loop {
         let next = tokio::select! {
             biased;
             next = rest.next() => next,
-            () = end.closed() => return Err(io::ErrorKind::BrokenPipe.into()),
+            () = http.wait_closed() => return Err(io::ErrorKind::BrokenPipe.into()),
         };
         match next {
             Some(Ok(chunk)) if chunk.is_empty() => {}
-            Some(Ok(chunk)) => end.send_chunk(&chunk).await?,
+            Some(Ok(chunk)) => http.send_chunk(&chunk).await?,
             Some(Err(Cut)) => return Err(io::ErrorKind::UnexpectedEof.into()),
-            None => return end.send_chunk(&[]).await,
+            None => return http.send_chunk(&[]).await,
         }
     }
 }
 
 /// Answers a message by another; `None` if the body is none.
-fn message<A, B>(mut body: Bytes, answer: impl FnOnce(&A) -> B) -> Option<PlainAnswer>
+fn answer_message<A, B>(mut body: Bytes, answer: impl FnOnce(&A) -> B) -> Option<PlainAnswer>
 where
     A: prost::Message + Default,
     B: prost::Message,
 {
-    let asked = take(&mut body).ok()?;
-    Some(PlainAnswer::Whole(join(&answer(&asked), &[])))
+    let message = take_message(&mut body).ok()?;
+    Some(PlainAnswer::Whole(encode_body(&answer(&message), &[])))
 }
 
-fn call_answer(attempt: AttemptId, result: Result<Reply, Refusal>) -> PlainAnswer {
+fn encode_answer(attempt: AttemptId, result: Result<Reply, Refusal>) -> PlainAnswer {
     let Reply { head, body } = match result {
         Ok(reply) => reply,
         Err(refusal) => {
-            let part = AnswerPart::Refusal(refusal_out(attempt, &refusal));
+            let part = AnswerPart::Refusal(encode_refusal(attempt, &refusal));
             let frame = wire::AnswerFrame { frame: Some(part) };
-            return PlainAnswer::Whole(join(&frame, &[]));
+            return PlainAnswer::Whole(encode_body(&frame, &[]));
         }
     };
     match body {
         Payload::Whole(bytes) => {
-            let mut message = reply_out(attempt, &head, Some(bytes));
+            let mut message = encode_reply(attempt, &head, Some(bytes));
             let bytes = std::mem::take(&mut message.body);
-            PlainAnswer::Whole(join_answer(&message, &head.headers, &bytes))
+            PlainAnswer::Whole(encode_answer_body(&message, &head.headers, &bytes))
         }
         Payload::Stream { chunks, .. } => {
-            let message = reply_out(attempt, &head, None);
-            PlainAnswer::Stream(join_answer(&message, &head.headers, &[]), chunks)
+            let message = encode_reply(attempt, &head, None);
+            PlainAnswer::Stream(encode_answer_body(&message, &head.headers, &[]), chunks)
         }
     }
 }
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -9,12 +9,12 @@
 use tokio::time::Instant;
 use tonic::transport::{Channel, Endpoint};
 
-use super::call::{CONNECT, MAX_MESSAGE};
+use super::call::{CONNECT_TIMEOUT, MAX_MESSAGE_BYTES};
 use super::generated::peer_client::PeerClient;
-use super::plain::PlainClient;
+use super::plain_client::PlainClient;
 
 /// How often a connection with calls out is asked whether it still lives.
-const PING: Duration = Duration::from_millis(500);
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// How long such a question may go unanswered.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that may be under way on one stream and on one connection.
@@ -22,13 +22,13 @@
 const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
 /// How long a connection of streams may go unused; it costs both daemons some
 /// 50 KB.
-const UNUSED: Duration = Duration::from_secs(20);
+const MAX_UNUSED_TIME: Duration = Duration::from_secs(20);
 
 /// A connection of streams.
 #[derive(Debug)]
-struct Standing {
+struct StreamConnection {
     client: PeerClient<Channel>,
-    used: Instant,
+    last_used: Instant,
 }
 
 /// The connections to each daemon that is called: one that carries any number
@@ -39,18 +39,18 @@
 #[derive(Debug)]
 pub struct Pool {
     handle: Handle,
-    own: IpAddr,
-    clients: Mutex<BTreeMap<SocketAddr, Standing>>,
+    local_ip: IpAddr,
+    clients: Mutex<BTreeMap<SocketAddr, StreamConnection>>,
     plain: Mutex<BTreeMap<SocketAddr, PlainClient>>,
 }
 
 impl Pool {
     /// Makes an empty pool whose connections go out from `own` and are driven
     /// on `handle`.
-    pub fn new(handle: Handle, own: IpAddr) -> Self {
+    pub fn new(handle: Handle, local_ip: IpAddr) -> Self {
         Self {
             handle,
-            own,
+            local_ip,
             clients: Mutex::default(),
             plain: Mutex::default(),
         }
@@ -59,35 +59,35 @@
     /// Returns the client of plain calls to `address`.
     pub(super) fn plain(&self, address: SocketAddr) -> PlainClient {
         let mut plain = self.plain.lock();
-        let made = || PlainClient::new(address, self.own);
-        plain.entry(address).or_insert_with(made).clone()
+        let new_plain = || PlainClient::new(address, self.local_ip);
+        plain.entry(address).or_insert_with(new_plain).clone()
     }
 
     /// Returns the connection to `address`, which is made when first used.
-    pub(super) fn get(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
-        let used = Instant::now();
+    pub(super) fn client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
+        let last_used = Instant::now();
         let mut clients = self.clients.lock();
-        if let Some(standing) = clients.get_mut(&address) {
-            standing.used = used;
-            return Some(standing.client.clone());
+        if let Some(connection) = clients.get_mut(&address) {
+            connection.last_used = last_used;
+            return Some(connection.client.clone());
         }
-        let client = self.fresh(address)?;
-        let standing = Standing {
+        let client = self.new_client(address)?;
+        let connection = StreamConnection {
             client: client.clone(),
-            used,
+            last_used,
         };
-        clients.insert(address, standing);
+        clients.insert(address, connection);
         Some(client)
     }
 
     /// Makes a new connection apart from the standing one.
-    pub(super) fn fresh(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
+    pub(super) fn new_client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
         let endpoint = endpoint
-            .local_address(Some(self.own))
-            .connect_timeout(CONNECT)
+            .local_address(Some(self.local_ip))
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .http2_keep_alive_interval(PING)
+            .http2_keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
             .keep_alive_while_idle(false)
             .initial_stream_window_size(STREAM_WINDOW)
@@ -96,8 +96,8 @@
         let client = PeerClient::new(endpoint.connect_lazy());
         Some(
             client
-                .max_decoding_message_size(MAX_MESSAGE)
-                .max_encoding_message_size(MAX_MESSAGE),
+                .max_decoding_message_size(MAX_MESSAGE_BYTES)
+                .max_encoding_message_size(MAX_MESSAGE_BYTES),
         )
     }
 
@@ -111,8 +111,12 @@
     /// on them go on.
     pub fn trim(&self) {
         let now = Instant::now();
-        let is_used = |standing: &Standing| now.saturating_duration_since(standing.used) < UNUSED;
-        self.clients.lock().retain(|_, standing| is_used(standing));
+        let is_recent = |connection: &StreamConnection| {
+            now.saturating_duration_since(connection.last_used) < MAX_UNUSED_TIME
+        };
+        self.clients
+            .lock()
+            .retain(|_, connection| is_recent(connection));
         self.plain.lock().values().for_each(PlainClient::trim);
     }
 
--- a/src/peer/ask.rs
+++ b/src/peer/query.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::generated as wire;
-use super::plain::AskError;
+use super::plain_client::QueryError;
 use super::pool::Pool;
 
 /// The path of questions for news.
@@ -28,17 +28,17 @@
 
 /// Asks the daemon at `address`: plainly, since a stream costs twice as much,
 /// or by a stream if it runs a version that knows no plain questions.
-pub(super) async fn ask(
+pub(super) async fn query(
     pool: &Pool,
     address: SocketAddr,
     request: wire::ExchangeRequest,
 ) -> Result<wire::ExchangeReply, ExchangeError> {
-    let longest = if request.want.is_empty() {
+    let timeout = if request.want.is_empty() {
         SHORT_TIMEOUT
     } else {
         TIMEOUT
     };
-    match tokio::time::timeout(longest, ask_either(pool, address, request)).await {
+    match tokio::time::timeout(timeout, query_either(pool, address, request)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(cause)) => {
             pool.replace(address);
@@ -51,17 +51,17 @@
     }
 }
 
-async fn ask_either(
+async fn query_either(
     pool: &Pool,
     address: SocketAddr,
     request: wire::ExchangeRequest,
 ) -> Result<wire::ExchangeReply, Box<str>> {
-    match pool.plain(address).ask(EXCHANGE_PATH, &request).await {
+    match pool.plain(address).query(EXCHANGE_PATH, &request).await {
         Ok(reply) => return Ok(reply),
-        Err(AskError::Unknown) => {}
-        Err(AskError::Failed(cause)) => return Err(cause),
+        Err(QueryError::Unknown) => {}
+        Err(QueryError::Failed(cause)) => return Err(cause),
     }
-    let mut client = pool.get(address).ok_or("no valid address")?;
+    let mut client = pool.client(address).ok_or("no valid address")?;
     match client.exchange(request).await {
         Ok(answer) => Ok(answer.into_inner()),
         Err(status) => Err(status.message().into()),
--- a/src/peer/rollout.rs
+++ b/src/peer/rollout.rs
@@ -5,22 +5,22 @@
 
 use bytes::Bytes;
 
-use super::ask::{ExchangeError, ask};
 use super::generated as wire;
 use super::pool::Pool;
+use super::query::{ExchangeError, query};
 use crate::declare::{Document, DocumentName, Manifest};
 use crate::error::Error;
 use crate::tables::{InForce, Shared};
 
 /// Fetches a later version of the configuration from a neighbour.
-pub(super) async fn fetch(
+pub(super) async fn fetch_configuration(
     shared: &Shared,
     pool: &Pool,
     address: SocketAddr,
     answer: &wire::ExchangeReply,
 ) -> Result<(), ExchangeError> {
-    let wrong = |e: Error| ExchangeError(e.to_string().into());
-    let manifest = Manifest::decode(&answer.manifest).map_err(wrong)?;
+    let invalid = |e: Error| ExchangeError(e.to_string().into());
+    let manifest = Manifest::decode(&answer.manifest).map_err(invalid)?;
     let known = shared.current.get();
     let mut documents = known_documents(known.as_deref(), &manifest);
     let want: Vec<String> = manifest
@@ -40,12 +40,12 @@
             want,
             ..Default::default()
         };
-        for document in ask(pool, address, request).await?.documents {
-            let document = document_in(document);
+        for document in query(pool, address, request).await?.documents {
+            let document = decode_document(document);
             documents.insert(document.name.clone(), document);
         }
     }
-    put_in_force(shared, manifest, documents.into_values().collect()).map_err(wrong)
+    apply_configuration(shared, manifest, documents.into_values().collect()).map_err(invalid)
 }
 
 /// Returns the documents of a manifest that are in force already.
@@ -66,7 +66,7 @@
 }
 
 /// Puts a version in force and tells the rest of the daemon.
-pub(crate) fn put_in_force(
+pub(crate) fn apply_configuration(
     shared: &Shared,
     manifest: Manifest,
     documents: Vec<Document>,
@@ -82,7 +82,10 @@
 }
 
 /// Returns the documents that a neighbour asked for.
-pub(super) fn wanted(in_force: Option<&InForce>, want: &[String]) -> Vec<wire::Document> {
+pub(super) fn requested_documents(
+    in_force: Option<&InForce>,
+    want: &[String],
+) -> Vec<wire::Document> {
     let Some(in_force) = in_force else {
         return Vec::new();
     };
@@ -102,7 +105,7 @@
         .collect()
 }
 
-fn document_in(document: wire::Document) -> Document {
+fn decode_document(document: wire::Document) -> Document {
     Document {
         name: DocumentName::from_text(&document.name),
         content: String::from_utf8_lossy(&document.content).into(),
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::model::Version;
-use crate::peer::put_in_force;
+use crate::peer::apply_configuration;
 use crate::policy::member::{VersionDecision, read_probability};
 use crate::store::{Feed, Row};
 use crate::tables::Shared;
@@ -71,7 +71,7 @@
         previous: None,
         documents: Manifest::index(&documents),
     };
-    put_in_force(shared, manifest, documents)?;
+    apply_configuration(shared, manifest, documents)?;
     guard.reload();
     Ok(())
 }
--- a/src/policy/member/record.rs
+++ b/src/policy/member/record.rs
@@ -73,7 +73,7 @@
 /// Which configuration it runs is no news of it: told by each member to all, a
 /// change would cost every daemon an entry of 90 bytes a member and neighbour,
 /// 124 KB a second at 5,300 members and 5,600 changes a day. Who wants to know
-/// asks ([`crate::peer::version_of`]).
+/// asks ([`crate::peer::query_version`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The run of the daemon.
--- a/src/task/gossip.rs
+++ b/src/task/gossip.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 use tokio::time::Instant;
 
-use crate::peer::{ExchangeError, Exchanged, Pool, exchange};
+use crate::peer::{ExchangeError, ExchangeOutcome, Pool, exchange};
 use crate::policy::member::{Link, LinkEvent, neighbours};
 use crate::tables::Shared;
 
@@ -58,7 +58,7 @@
 }
 
 /// An exchange that has ended.
-type Ended = (SocketAddr, Result<Exchanged, ExchangeError>);
+type Ended = (SocketAddr, Result<ExchangeOutcome, ExchangeError>);
 
 /// The links to neighbours, and the exchanges under way.
 #[derive(Default)]
@@ -105,9 +105,9 @@
         let now = Instant::now();
         match result {
             Ok(done) => {
-                link.record_answer(now, done.told, done.same);
+                link.record_answer(now, done.position, done.same_view);
                 // More is to be told than a message holds.
-                if !done.same && done.told.sent < Some(shared.view.lock().change()) {
+                if !done.same_view && done.position.sent < Some(shared.view.lock().change()) {
                     shared.wake();
                 }
             }
--- a/src/task/poll.rs
+++ b/src/task/poll.rs
@@ -11,7 +11,7 @@
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::model::Version;
-use crate::peer::{known_documents, put_in_force};
+use crate::peer::{apply_configuration, known_documents};
 use crate::policy::member::{Budget, VersionDecision, is_delegate};
 use crate::tables::Shared;
 
@@ -83,7 +83,7 @@
         return Ok(());
     }
     let (manifest, documents) = fetch_version(shared, &current.manifest).await?;
-    put_in_force(shared, manifest, documents)
+    apply_configuration(shared, manifest, documents)
 }
 
 /// Fetches a manifest and its documents from the object store.
--- a/src/task/rates.rs
+++ b/src/task/rates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::model::WorkspaceName;
-use crate::peer::{Pool, borrow};
+use crate::peer::{Pool, request_credit};
 use crate::policy::rate::CreditQuery;
 use crate::tables::{Credit, Shared};
 
@@ -21,7 +21,7 @@
     credit: Arc<Credit>,
     asked: CreditQuery,
 ) {
-    match borrow(&shared, &pool, &name, asked).await {
+    match request_credit(&shared, &pool, &name, asked).await {
         Some(lent) => credit.lent(lent),
         None => {
             shared.metrics.count("credit_unanswered");
