--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -105,7 +105,7 @@
             _ if member.state >= MemberState::Silent => None,
             other => query_version(&self.shared, &self.pool, other).await,
         };
-        let table = self.shared.routes.table(&member.service);
+        let table = self.shared.targets.table(&member.service);
         let pace = table.lock().latency_ratio(Instant::now(), member.instance);
         MemberLine {
             instance: member.instance,
@@ -211,7 +211,7 @@
             Ok(service) => service,
             Err(e) => return answer_text(StatusCode::BAD_REQUEST, format!("{e}")),
         };
-        match self.entry.issue(&service) {
+        match self.entry.issue_ticket(&service) {
             Some(key) => {
                 let key = key.to_string().into();
                 answer_json(StatusCode::OK, &TicketAnswer { key })
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -67,7 +67,7 @@
     let own = shared.instance.address;
     if coordinator.address == own {
         return shared
-            .lend(workspace, own, credit_query)
+            .grant_credit(workspace, own, credit_query)
             .map(CreditAnswer::Granted);
     }
     let request = wire::CreditRequest {
@@ -124,7 +124,7 @@
         demand: valid_amount(request.demand),
         local_admits: valid_amount(request.alone),
     };
-    match shared.lend(&workspace, from, credit_query) {
+    match shared.grant_credit(&workspace, from, credit_query) {
         None => unknown,
         Some(grant) => wire::CreditReply {
             credit: grant.credit,
--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -52,19 +52,19 @@
         .from
         .parse()
         .map_err(|e: Error| ExchangeError(e.to_string().into()))?;
-    shared.term.lock().record_answer(Instant::now());
+    shared.role_tracker.lock().record_answer(Instant::now());
     let members = read_members(&answer.members);
     if members.len() < FIRST_PAGE_MEMBERS {
         // The neighbour has told all that it knows.
-        shared.readiness.found();
+        shared.readiness.set_members_known();
     }
     let known = merge_members(shared, |view, now| {
         view.merge_reply(now, members.into_iter(), sent.members)
     });
     let same_view = shared.view.lock().digest() == answer.digest;
     merge_ownership(shared, &answer.homes);
-    shared.take_suspects(&decode_suspects(&answer.suspects));
-    if shared.current.offer(Version::new(answer.version)) == VersionDecision::Apply {
+    shared.merge_suspects(&decode_suspects(&answer.suspects));
+    if shared.current.decide(Version::new(answer.version)) == VersionDecision::Apply {
         fetch_configuration(shared, pool, address, &answer).await?;
     }
     let position = SyncPosition {
@@ -97,7 +97,7 @@
         homes_seen: u64::MAX,
         suspects_seen: u64::MAX,
         seen_of: instance.to_string(),
-        homes_digest: shared.homes.digest(),
+        homes_digest: shared.ownership.digest(),
         ..Default::default()
     };
     let mut client = pool.new_client(instance.address)?;
@@ -113,8 +113,8 @@
 }
 
 fn request(shared: &Shared, position: SyncPosition) -> (wire::ExchangeRequest, SentChanges) {
-    let (suspects, suspects_change) = shared.suspects.changed(position.suspects_sent);
-    let homes_digest = shared.homes.digest();
+    let (suspects, suspects_change) = shared.suspects.changes_since(position.suspects_sent);
+    let homes_digest = shared.ownership.digest();
     let version = shared.current.version().get();
     let view = shared.view.lock();
     let page = view.page(position.sent.unwrap_or_default(), MAX_PAGE_MEMBERS, &[]);
@@ -163,7 +163,9 @@
     for home in homes {
         let service: Result<ServiceName, _> = home.key.parse();
         if let (Ok(service), Ok(row)) = (service, OwnershipRow::decode(&home.content)) {
-            shared.homes.take(&service, Revision(home.revision), row);
+            shared
+                .ownership
+                .update(&service, Revision(home.revision), row);
         }
     }
 }
@@ -172,7 +174,7 @@
 pub(super) fn answer(shared: &Shared, request: &wire::ExchangeRequest) -> wire::ExchangeReply {
     let (reply, has_updates) = reply(shared, request);
     if has_updates && let Ok(from) = request.from.parse::<Instance>() {
-        shared.ask_later(from.address);
+        shared.query_later(from.address);
     }
     reply
 }
@@ -184,7 +186,7 @@
     merge_members(shared, |view, now| {
         view.merge_all(now, members.iter().cloned())
     });
-    shared.take_suspects(&decode_suspects(&request.suspects));
+    shared.merge_suspects(&decode_suspects(&request.suspects));
     let in_force = shared.current.get();
     let version = shared.current.version();
     let sender = Version::new(request.version);
@@ -196,8 +198,8 @@
             ChangeCount::default()
         }
     };
-    let (homes, homes_change) = shared.homes.changed(since(request.homes_seen));
-    let (suspects, suspects_change) = shared.suspects.changed(since(request.suspects_seen));
+    let (homes, homes_change) = shared.ownership.changes_since(since(request.homes_seen));
+    let (suspects, suspects_change) = shared.suspects.changes_since(since(request.suspects_seen));
     let view = shared.view.lock();
     let page_size = if known {
         MAX_PAGE_MEMBERS
@@ -223,6 +225,6 @@
     };
     drop(view);
     let is_gossip = request.want.is_empty();
-    let has_updates = sender > version || request.homes_digest != shared.homes.digest();
+    let has_updates = sender > version || request.homes_digest != shared.ownership.digest();
     (reply, is_gossip && has_updates)
 }
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -4,10 +4,12 @@
 use crate::error::Error;
 use crate::model::{ServiceName, Slots};
 use crate::policy::member::{Incarnation, Member};
-use crate::tables::Home;
+use crate::tables::StoredOwnership;
 
 /// Writes a home row.
-pub(super) fn encode_ownership((service, ownership): &(ServiceName, Home)) -> wire::HomeRow {
+pub(super) fn encode_ownership(
+    (service, ownership): &(ServiceName, StoredOwnership),
+) -> wire::HomeRow {
     wire::HomeRow {
         key: service.to_string(),
         revision: ownership.revision.0,
--- a/src/peer/rollout.rs
+++ b/src/peer/rollout.rs
@@ -10,7 +10,7 @@
 use super::query::{ExchangeError, query};
 use crate::declare::{Document, DocumentName, Manifest};
 use crate::error::Error;
-use crate::tables::{InForce, Shared};
+use crate::tables::{ActiveConfiguration, Shared};
 
 /// Fetches a later version of the configuration from a neighbour.
 pub(super) async fn fetch_configuration(
@@ -50,7 +50,7 @@
 
 /// Returns the documents of a manifest that are in force already.
 pub(crate) fn known_documents(
-    known: Option<&InForce>,
+    known: Option<&ActiveConfiguration>,
     manifest: &Manifest,
 ) -> BTreeMap<DocumentName, Document> {
     let Some(known) = known else {
@@ -72,18 +72,18 @@
     documents: Vec<Document>,
 ) -> Result<(), Error> {
     let version = manifest.version;
-    if !shared.current.take(manifest, documents)? {
+    if !shared.current.apply(manifest, documents)? {
         return Ok(());
     }
     spdlog::info!("configuration in force", kv: { version = version.get() });
-    shared.refresh_routes();
-    shared.wake();
+    shared.refresh_targets();
+    shared.notify_gossip();
     Ok(())
 }
 
 /// Returns the documents that a neighbour asked for.
 pub(super) fn requested_documents(
-    in_force: Option<&InForce>,
+    in_force: Option<&ActiveConfiguration>,
     want: &[String],
 ) -> Vec<wire::Document> {
     let Some(in_force) = in_force else {
