--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -193,7 +193,7 @@
         } else {
             let message = OutgoingCall {
                 head: self.head(),
-                account: grant.retries,
+                granted_retries: grant.retries,
                 body,
                 needs_confirm: self.needs_confirmation(target),
                 suspect: self.suspect(),
--- a/src/peer/call.rs
+++ b/src/peer/call.rs
@@ -23,7 +23,7 @@
     /// What travels with the call, but for its account.
     pub head: &'c CallHead,
     /// Retries lent to this attempt.
-    pub account: Retries,
+    pub granted_retries: Retries,
     /// The body.
     pub body: Payload,
     /// Whether the guard asks before it starts the call.
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -77,7 +77,7 @@
         class: head.class.as_str().to_owned(),
         depth: u32::from(head.depth.get()),
         deadline_ms: millis(left),
-        account: message.account.get(),
+        account: message.granted_retries.get(),
         once_key: once.map_or(String::new(), |once| once.key.to_string()),
         method: head.method.as_str().to_owned(),
         target: head.target.as_ref().to_owned(),
--- a/src/peer/http_stream.rs
+++ b/src/peer/http_stream.rs
@@ -105,9 +105,9 @@
     /// Fails if the connection does, or if what comes is no such head.
     pub(super) async fn read_response(&mut self) -> io::Result<ResponseHead> {
         loop {
-            if let Some((length, answer)) = parse_response(&self.buffer)? {
+            if let Some((length, response)) = parse_response(&self.buffer)? {
                 self.buffer.advance(length);
-                return Ok(answer);
+                return Ok(response);
             }
             self.read_more_head().await?;
         }
