--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -13,7 +13,7 @@
 use super::retry_source::RetrySource;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
 use crate::model::{AttemptId, Instance, RelayedNotice, Retries, Verdict};
-use crate::peer::{self, Message};
+use crate::peer::{self, OutgoingCall};
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
@@ -191,14 +191,14 @@
             // On the heap, so that calls to other daemons need no room for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
-            let message = Message {
+            let message = OutgoingCall {
                 head: self.head(),
-                account: grant.retries,
+                granted_retries: grant.retries,
                 body,
-                held: self.needs_confirmation(target),
+                needs_confirm: self.needs_confirmation(target),
                 suspect: self.suspect(),
-                told,
-                waits: self.may_wait,
+                notice: told,
+                may_wait: self.may_wait,
             };
             peer::send(&self.context.pool, target, attempt, message).await
         };
