--- a/src/call/head.rs
+++ b/src/call/head.rs
@@ -40,7 +40,7 @@
     pub depth: Depth,
     /// Whether a caller made it itself and it needs no others, as learned from
     /// the calls of its class.
-    pub single: bool,
+    pub single_call: bool,
     /// When the caller stops waiting.
     pub deadline: Instant,
     /// Retries lent to this attempt and all calls below it.
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -120,7 +120,7 @@
                 },
             ),
             once,
-            single,
+            single_call: single,
             priority: if single {
                 Priority::for_single_call(rank, head.root)
             } else {
@@ -219,7 +219,7 @@
         class: class.name.clone(),
         priority: Priority::new(rank, depth, root),
         depth,
-        single: false,
+        single_call: false,
         deadline: parent.map_or(own, |held| own.min(held.deadline)),
         granted_retries: Retries::new(0),
         once: None,
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -75,7 +75,7 @@
         patience.spare = patience.spare.saturating_sub(waited);
         self.shared.metrics.count("caller_retries");
         let head = &mut accepted.head;
-        if accepted.options.boost && !head.single {
+        if accepted.options.boost && !head.single_call {
             head.root = boosted_root(head.root);
             head.priority = Priority::new(head.priority.rank(), head.depth, head.root);
         }
--- a/src/model/level.rs
+++ b/src/model/level.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the first level of the next more important class.
-    pub fn class_end(self) -> usize {
+    pub fn next_class_start(self) -> usize {
         (self.index() / Self::STEPS + 1) * Self::STEPS
     }
 
--- a/src/model/once_key.rs
+++ b/src/model/once_key.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the time that is `ms` milliseconds later.
-    pub const fn plus(self, ms: u64) -> Self {
+    pub const fn saturating_add(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
     }
 
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -87,7 +87,7 @@
         repeat: head.repeat,
         rank: u32::from(head.priority.rank().get()),
         held: message.held,
-        single: head.single,
+        single: head.single_call,
         asked: head
             .fingerprint
             .map_or(Bytes::new(), |asks| id_bytes(asks.digest)),
@@ -143,7 +143,7 @@
             Priority::new(rank, depth, root)
         },
         depth,
-        single: head.single,
+        single_call: head.single,
         deadline: now + Duration::from_millis(u64::from(head.deadline_ms)),
         granted_retries: Retries::new(head.account),
         once,
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -161,14 +161,14 @@
     /// as those above it in the same class, and steps are bounded.
     fn opening_step(&self, target: f64, offered: f64, idle: bool) -> f64 {
         let low = self.level.index();
-        let open = self.level.class_end() - low;
+        let open = self.level.next_class_start() - low;
         let share = if idle && offered < target * LOW_DEMAND_SHARE {
             FAST_OPEN_SHARE
         } else {
             OPEN_SHARE
         };
         let most = (open.max(MIN_BAND) as f64 * share).max(1.0);
-        let density = self.arrivals_in(low..self.level.class_end()) / open as f64;
+        let density = self.arrivals_in(low..self.level.next_class_start()) / open as f64;
         if density <= 0.0 || (idle && offered < target * LOW_DEMAND_SHARE) {
             return most;
         }
--- a/src/policy/once/plan.rs
+++ b/src/policy/once/plan.rs
@@ -45,7 +45,7 @@
     }
     let mut next = row.clone();
     let mut shares = Shares::new(row, live);
-    let until = now.plus(horizon.ahead_ms());
+    let until = now.saturating_add(horizon.ahead_ms());
     for slot in next.slots_mut() {
         extend(slot, until, &mut shares);
     }
@@ -57,7 +57,7 @@
 }
 
 fn is_due(row: &OwnershipRow, now: MintTime, live: &[Instance], horizon: Horizon) -> bool {
-    let due = now.plus(horizon.ahead_ms() / 2);
+    let due = now.saturating_add(horizon.ahead_ms() / 2);
     row.slots().iter().any(|slot| match slot.last() {
         Some(last) => last.until <= due || !live.contains(&last.owner),
         None => true,
@@ -84,7 +84,7 @@
     slot.push(Interval {
         owner,
         from,
-        until: until.max(from.plus(1)),
+        until: until.max(from.saturating_add(1)),
     });
 }
 
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -39,7 +39,7 @@
         class: "rank-0".parse().expect("a name"),
         priority: Priority::new(ClassRank::new(0), Depth::default(), RootId::new(1)),
         depth: Depth::default(),
-        single: false,
+        single_call: false,
         deadline: Instant::now() + left,
         granted_retries: Retries::new(0),
         once: None,
