--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -1,4 +1,4 @@
-//! What an arriving request is: service, class, deadline, account and key.
+//! Reading of requests: service, class, deadline, retries and key.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -19,40 +19,41 @@
 use crate::policy::retry::RepeatSafety;
 use crate::tables::{Held, Shared};
 
-/// A request that was understood.
+/// A valid request.
 pub(super) struct AcceptedRequest {
-    /// What travels with the call.
+    /// The head that is sent along with the call.
     pub(super) head: CallHead,
-    /// The call of the own backend server that this one serves, if any.
+    /// The parent call on the own backend server, if this is an onward call.
     pub(super) parent: Option<Arc<Held>>,
     /// Whether the call may run twice.
     pub(super) safety: RepeatSafety,
-    /// Retries of the request, if it has no parent.
+    /// Retries that the request may use if it has no parent call.
     pub(super) max_retries: Retries,
-    /// Most backend servers that the call is sent to.
+    /// Maximum number of backend servers that the call is sent to.
     pub(super) max_servers: u32,
     /// Whether the class is protected.
     pub(super) is_protected: bool,
-    /// The caller's count of its attempts, from 1, if it tells.
+    /// Number of the caller's attempt, from 1, if the caller sends it.
     pub(super) attempt_number: Option<u32>,
     /// Name of the caller, for metrics.
     pub(super) caller: Option<CallerName>,
-    /// The workspace of the caller's key.
+    /// The workspace that the API key belongs to.
     pub(super) workspace: Option<CallerWorkspace>,
     /// What the front decides besides the levels.
     pub(super) front_options: FrontOptions,
-    /// The time that the caller has, if it tells and a route matched.
+    /// The timeout of the caller, if it was sent and a route matched.
     pub(super) caller_time: Option<CallerTime>,
 }
 
-/// The workspace that a request counts for.
+/// The workspace that a request is counted for.
 pub(super) struct CallerWorkspace {
     pub(super) name: WorkspaceName,
-    /// How many requests it may make.
+    /// The rate limit of the workspace, if it has one.
     pub(super) limit: Option<Limit>,
 }
 
-/// Reads what a request is, by the rules in force; its head had come at `came`.
+/// Reads a request whose head was complete at `arrived_at`, by the configuration
+/// in force.
 pub(super) fn accept(
     parts: &Parts,
     arrived_at: Instant,
@@ -60,8 +61,8 @@
     estate: &Estate,
     shared: &Shared,
 ) -> Result<AcceptedRequest, Rejection> {
-    let wrong = |e| reject(Reason::BadRequest, e);
-    let facts = shared.protocol.read(parts).map_err(wrong)?;
+    let bad_request = |e| reject(Reason::BadRequest, e);
+    let facts = shared.protocol.read(parts).map_err(bad_request)?;
     let matched = match_request(parts, estate, &shared.splits)?;
     let parent = facts.parent.and_then(|id| shared.calls.get(id));
     let declared = estate.caller(from);
@@ -144,11 +145,11 @@
     })
 }
 
-/// Returns the workspace whose key came with a request.
+/// Returns the workspace of a request's API key.
 ///
-/// Calls of backend servers bear none. They go to routes that are open to all;
-/// without routes they are known by the id of the call that they are made for,
-/// which nobody else can guess.
+/// Backend servers send no key with their calls. If the configuration has routes,
+/// their calls go to public ones; otherwise they are recognised by the id of the
+/// parent call, which nobody else can guess.
 fn caller_workspace<'e>(
     facts: &Facts,
     estate: &'e Estate,
@@ -175,7 +176,8 @@
     }
 }
 
-/// Tells whether the callers' own calls of a class to a service need no others.
+/// Returns whether callers' own calls of a class to a service make no onward
+/// calls.
 fn is_single_call(shared: &Shared, service: &ServiceName, rank: ClassRank) -> bool {
     let table = shared.routes.table(service);
     let table = table.lock();
@@ -203,7 +205,7 @@
     };
     let depth = parent.map_or(Depth::default(), |parent| parent.depth.next());
     if depth > Depth::MAX {
-        return Err(reject(Reason::TooDeep, "calls go round in a circle"));
+        return Err(reject(Reason::TooDeep, "calls may form a loop"));
     }
     let target = parts
         .uri
@@ -235,8 +237,8 @@
 
 /// Reads the idempotency key of a call that must run at most once.
 ///
-/// A call made onwards for a once call has the class of its parent, but is
-/// once itself only where the rules of its own service say so.
+/// An onward call has the class of its parent, but must run at most once only if
+/// the rules of its own service say so.
 fn once_call(
     parts: &Parts,
     service: &Service,
@@ -250,7 +252,10 @@
         return Ok(None);
     };
     let Some(value) = parts.headers.get(&**name) else {
-        let detail = format!("class {} must run at most once; send {name}", declared.name);
+        let detail = format!(
+            "class {} must run at most once; header {name} is missing",
+            declared.name
+        );
         return Err(reject(Reason::BadRequest, detail));
     };
     let key: OnceKey = value
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller receives.
+//! Answers to callers.
 
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
@@ -8,27 +8,27 @@
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
-/// Marks an answer that was kept from an earlier run of the same key.
+/// Marks an answer that was stored by an earlier run of the same key.
 const STORED_ANSWER: HeaderName = HeaderName::from_static("bramleymount-kept");
 
-/// Makes the answers to one request.
+/// Builds the answers to one request.
 pub(super) struct AnswerBuilder<'r> {
     protocol: &'r dyn Protocol,
     request: &'r HeaderMap,
 }
 
 impl<'r> AnswerBuilder<'r> {
-    /// Prepares to answer a request with these headers.
+    /// Creates a builder for a request with the given headers.
     pub(super) fn new(protocol: &'r dyn Protocol, request: &'r HeaderMap) -> Self {
         Self { protocol, request }
     }
 
-    /// Returns the id by which the caller knows the request.
+    /// Returns the caller's id of the request.
     pub(super) fn id(&self) -> &'r str {
         self.protocol.id(self.request)
     }
 
-    /// Gives the backend server's own answer.
+    /// Builds the answer of the backend server.
     pub(super) fn reply(&self, call: CallId, reply: Reply) -> CallerAnswer {
         let Reply { head, body } = reply;
         let streamed = matches!(body, Payload::Stream { .. });
@@ -45,7 +45,7 @@
         answer
     }
 
-    /// Says why there is no answer, and what that means.
+    /// Builds a refusal, with its reason and whether the call may have run.
     pub(super) fn refusal(
         &self,
         call: Option<CallId>,
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,14 +1,14 @@
-//! A request as it arrived.
+//! Requests as received.
 
 use http::request::Parts;
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-/// A request as it arrived.
+/// A request as received.
 pub(super) struct Arrival {
     pub(super) parts: Parts,
-    /// Left out where none can follow.
+    /// `None` if no body can follow.
     pub(super) body: Option<Incoming>,
-    /// When its head had come.
+    /// When the head was complete.
     pub(super) arrived_at: Instant,
 }
--- a/src/entry/attempt_reporter.rs
+++ b/src/entry/attempt_reporter.rs
@@ -1,4 +1,4 @@
-//! What the table of targets is told of one attempt.
+//! Reports of attempts to the table of targets.
 
 use tokio::time::Instant;
 
@@ -7,8 +7,8 @@
 use crate::model::Instance;
 use crate::policy::route::{AttemptReport, CallKind, CallTime, Table};
 
-/// Reports to the table of targets how an attempt ended, also if the caller
-/// went away first.
+/// Reports to the table of targets how an attempt ended, even if the caller
+/// disconnects first.
 pub(super) struct AttemptReporter<'f> {
     forward: &'f ForwardedCall<'f>,
     target: Instance,
@@ -17,7 +17,7 @@
 }
 
 impl<'f> AttemptReporter<'f> {
-    /// Begins to watch an attempt that was counted as sent to `target`.
+    /// Starts to observe an attempt that was counted as sent to `target`.
     pub(super) fn new(forward: &'f ForwardedCall<'f>, target: Instance) -> Self {
         Self {
             forward,
@@ -29,25 +29,25 @@
 
     /// Reports how the attempt ended.
     pub(super) fn report(mut self, result: &Result<Reply, Refusal>) {
-        let news = match result {
+        let status = match result {
             Ok(reply) => Some(reply.head.news),
             Err(refusal) => refusal.news,
         };
-        let report = match news {
-            Some(news) if matches!(result, Err(r) if r.reason() == Reason::Rejected) => {
-                AttemptReport::Rejected(news)
+        let report = match status {
+            Some(status) if matches!(result, Err(r) if r.reason() == Reason::Rejected) => {
+                AttemptReport::Rejected(status)
             }
-            Some(news) => AttemptReport::Responded(news),
+            Some(status) => AttemptReport::Responded(status),
             None if matches!(result, Err(refusal) if refusal.reason().is_silence()) => {
                 AttemptReport::Unreachable
             }
             None => AttemptReport::Failed,
         };
         let notices = &self.forward.context.shared.notices;
-        match (result, news.and_then(|news| news.told)) {
-            (_, Some(told)) => notices.hear(self.target.address, told),
+        match (result, status.and_then(|status| status.told)) {
+            (_, Some(notice)) => notices.hear(self.target.address, notice),
             (Ok(_), None) => notices.hear_none(self.target.address),
-            // A guard that refuses may not have heard its server yet.
+            // A guard that refuses may not have received its server's notice yet.
             (Err(_), None) => {}
         }
         let now = Instant::now();
@@ -62,8 +62,8 @@
         self.is_reported = true;
     }
 
-    /// Tells the table how long the attempt took. Only an answer in good order
-    /// that the server has just made tells how fast it is.
+    /// Reports how long the attempt took. Only a successful answer that isn't a
+    /// stored one shows how fast the server is.
     fn report_time(&self, table: &mut Table, now: Instant, result: &Result<Reply, Refusal>) {
         let time = now.saturating_duration_since(self.sent_at);
         let call_time = match result {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Learns whether callers' own calls of this class make others.
+    /// Records whether callers' own calls of this class make onward calls.
     fn record_own_call(&self, table: &mut Table, reply: &Reply) {
         let is_own_call =
             self.forward.accepted.parent.is_none() && self.forward.head().once.is_none();
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers.
+//! Bodies of requests.
 
 use bytes::{Bytes, BytesMut};
 use http::HeaderMap;
@@ -9,20 +9,20 @@
 
 use crate::web::{Chunks, Cut, Payload, SMALL_BODY};
 
-/// Largest body of a once call, in bytes; it is held whole.
+/// Maximum body size of a once call, which is buffered whole.
 const MAX_ONCE_BODY_BYTES: usize = 1024 * 1024;
-/// Largest body of any call, in bytes.
+/// Maximum body size of any call.
 const MAX_BODY_BYTES: u64 = 1024 * 1024 * 1024;
 
-/// Why a body was not taken.
+/// Why a body was refused.
 pub(super) enum BodyError {
-    /// It is too large.
+    /// The body is too large.
     TooLarge,
-    /// It ended before its end.
+    /// The body ended early.
     Truncated,
 }
 
-/// Reads a body: whole if it is small or must be held, else as a stream.
+/// Reads a body: whole if it is small or must be buffered, else as a stream.
 pub(super) async fn read_body(
     headers: &HeaderMap,
     body: Option<Incoming>,
@@ -44,7 +44,7 @@
     if large && must_buffer {
         return Err(BodyError::TooLarge);
     }
-    // Grown by doubling it would hold up to twice its length.
+    // Growth by doubling could allocate up to twice the length.
     let known = length.filter(|_| !large).unwrap_or_default();
     let mut buffered = BytesMut::with_capacity(usize::try_from(known).unwrap_or_default());
     while !large && buffered.len() <= limit {
@@ -62,7 +62,7 @@
     Ok(Payload::Stream { length, chunks })
 }
 
-/// Returns the next chunk of a body; trailers are passed over.
+/// Returns the next chunk of a body, skipping trailers.
 async fn next_chunk(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
@@ -87,7 +87,7 @@
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Passes a streamed body on as fast as it is taken.
+/// Forwards a streamed body as fast as the receiver reads it.
 async fn forward_stream(
     buffered: Bytes,
     mut body: Incoming,
--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -1,4 +1,4 @@
-//! The time that a caller has.
+//! Timeouts of callers.
 
 use std::time::Duration;
 
@@ -8,21 +8,20 @@
 use crate::call::Facts;
 use crate::model::RouteName;
 
-/// The time that a caller of a route has.
+/// The timeout of a caller, and how much of it is left.
 pub(super) struct CallerTime {
-    /// The route.
     pub(super) route: RouteName,
-    /// The time that the caller had when it came.
+    /// The timeout that the caller sent.
     pub(super) timeout: Duration,
-    /// When the caller came.
+    /// When the request arrived.
     pub(super) arrived_at: Instant,
-    /// How long a new caller may stay away for an answer of full use: what the
-    /// objective leaves of the longest time that one attempt takes.
+    /// How long a new caller may delay its retry and still get an answer within
+    /// the objective, if one attempt takes the full timeout of the route.
     pub(super) slack: Duration,
 }
 
 impl CallerTime {
-    /// Returns the time of a caller that tells it, if a route matched.
+    /// Returns the time of a caller that sent a timeout, if a route matched.
     pub(super) fn new(facts: &Facts, matched: &RouteMatch<'_>) -> Option<Self> {
         let route = matched.route?;
         Some(Self {
@@ -33,7 +32,7 @@
         })
     }
 
-    /// Returns the time that the caller has left.
+    /// Returns how much of the timeout is left.
     pub(super) fn time_left(&self, now: Instant) -> Duration {
         let waited = now.saturating_duration_since(self.arrived_at);
         self.timeout.saturating_sub(waited)
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What the calls of one entry share.
+//! State shared by the calls of one entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +15,20 @@
 use crate::policy::member::Budget;
 use crate::tables::Shared;
 
-/// Home rows a second and at once that one entry may read for callers.
+/// Ownership rows that one entry may read for callers per second.
 const OWNERSHIP_READS_PER_S: f64 = 1.0;
+/// Ownership rows that one entry may read for callers at once.
 const OWNERSHIP_READ_BURST: f64 = 4.0;
 
-/// Mean time after which a refused caller may come back, where nothing is
-/// known of the excess.
+/// Mean time after which a refused caller may retry if the excess load is
+/// unknown.
 const MEAN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Mean time after which a caller may come back that met no server in order:
-/// news of another one takes about this long.
+/// Mean time after which a caller may retry if no server could take the call:
+/// an update about another server takes about this long.
 const MEAN_OUTAGE_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What the calls of one entry share.
+/// State shared by the calls of one entry.
 pub(super) struct Context {
     pub(super) shared: Arc<Shared>,
     pub(super) guard: Arc<Guard>,
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Takes leave to read a home row from the platform.
+    /// Returns whether an ownership row may be read from the platform now, and
+    /// counts the read.
     pub(super) fn may_read_ownership(&self) -> bool {
         self.ownership_reads.lock().try_take(Instant::now())
     }
 
-    /// Adds when the caller may come back to a refusal that does not say so,
-    /// where coming back may help.
+    /// Adds a retry time to a refusal that has none, if a retry may help.
     pub(super) fn add_retry_after(&self, refusal: &mut Refusal) {
         let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().may_pass();
         if helps && refusal.retry_after.is_none() {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Returns when a refused caller may come back, spread at random.
+    /// Returns when a refused caller may retry, at random to spread the retries.
     pub(super) fn random_retry_after(&self) -> Duration {
         MEAN_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.5))
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! The attempts at one call, until it is answered or given up.
+//! Forwarding of a call: attempts until it is answered or given up.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,35 +21,35 @@
 use crate::tables::{Detail, Step};
 use crate::web::Payload;
 
-/// How a call ended, and how many retries it took here.
+/// The result of a call, with the retries that the entry made.
 pub(super) struct CallOutcome {
     pub(super) result: Result<Reply, Refusal>,
     pub(super) retries: u32,
-    /// The guards that were asked, in order.
+    /// Addresses of the guards that the call was sent to, in order.
     pub(super) targets: Box<[SocketAddr]>,
 }
 
-/// One call under way at the entry.
+/// A call that the entry is forwarding.
 pub(super) struct ForwardedCall<'e> {
     pub(super) context: &'e Context,
     pub(super) retry_source: RetrySource,
     pub(super) accepted: &'e AcceptedRequest,
-    /// The targets of the service that is called.
+    /// The targets of the called service.
     targets: Arc<Mutex<Table>>,
     pub(super) retries: u32,
     /// The weakest verdict of the attempts so far.
     pub(super) earlier_verdict: Verdict,
     pub(super) tried_targets: Vec<Instance>,
-    /// All guards that were asked, in order.
+    /// Addresses of the guards that the call was sent to, in order.
     pub(super) asked_guards: Vec<SocketAddr>,
     /// Backend servers that refused the call without running it.
     pub(super) rejecting_servers: Vec<Instance>,
     /// How often the call was sent to a backend server.
     pub(super) sent_count: u32,
-    /// Guards that refused it before its backend server saw it.
+    /// Refusals by guards before a backend server received the call.
     pub(super) guard_refusals: u32,
-    /// Whether it waits for the rate that a backend server named, since no
-    /// other one has room.
+    /// Whether the call may wait for the requested rate of its backend server,
+    /// since there is no other server to try.
     pub(super) may_wait: bool,
 }
 
@@ -80,7 +80,7 @@
         let result = match body {
             Payload::Whole(bytes) => self.run_attempts(bytes).await,
             stream @ Payload::Stream { .. } => {
-                // It can't be sent elsewhere once it has begun.
+                // A stream can't be sent to another target once it has begun.
                 self.may_wait = true;
                 match self.choose_target(Attempt::plan()) {
                     Ok((attempt, target)) => {
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Tells whether a call failed since no server of the service was in reach.
+    /// Returns whether a call failed because no server of the service was
+    /// reachable.
     fn is_service_unreachable(&self, now: Instant, result: &Result<Reply, Refusal>) -> bool {
         let unreachable = matches!(result, Err(refusal) if refusal.reason() == Reason::Unreachable);
         self.accepted.front_options.fail_fast
@@ -174,7 +175,8 @@
         f(&mut self.targets.lock())
     }
 
-    /// Makes one attempt; what it did not use of its grant comes home.
+    /// Makes one attempt, then returns the unused retries of its grant to the
+    /// account.
     async fn send_attempt(
         &self,
         attempt: Attempt<Planned>,
@@ -185,10 +187,10 @@
         let journal = &self.context.shared.journal;
         journal.note(self.head().call, Step::Sent, Detail::Target(target));
         let reporter = AttemptReporter::new(self, target);
-        let told = self.context.shared.notices.of(target.address);
+        let notice = self.context.shared.notices.of(target.address);
         let result = if target == self.context.shared.instance {
-            let call = self.local_call(attempt.id(), grant.retries, body, told);
-            // On the heap, so that calls to other daemons need no room for it.
+            let call = self.local_call(attempt.id(), grant.retries, body, notice);
+            // Boxed, so that calls to other daemons don't reserve space for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
             let message = Message {
@@ -197,7 +199,7 @@
                 body,
                 held: self.needs_confirmation(target),
                 suspect: self.suspect(),
-                told,
+                told: notice,
                 waits: self.may_wait,
             };
             peer::send(&self.context.pool, target, attempt, message).await
@@ -212,19 +214,19 @@
         result
     }
 
-    /// Makes the call of one attempt for the guard of this VM.
+    /// Builds the call of one attempt for the guard on this VM.
     fn local_call(
         &self,
         attempt: AttemptId,
         account: Retries,
         body: Payload,
-        told: Option<Told>,
+        notice: Option<Told>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
                 account,
-                told,
+                told: notice,
                 waits: self.may_wait,
                 ..self.head().clone()
             },
@@ -233,9 +235,10 @@
         }
     }
 
-    /// Tells whether the guard asks before it starts the call: one that must
-    /// not run twice, and any to a guard that may be out of reach, so that it
-    /// can be tried elsewhere at no cost.
+    /// Returns whether the guard needs the entry's confirmation before it starts
+    /// the call. This applies to calls that must not run twice, and to all calls
+    /// to a guard without a recent status: it may be unreachable, and the call
+    /// can then be tried elsewhere at no cost.
     fn needs_confirmation(&self, target: Instance) -> bool {
         if self.head().once.is_some() {
             return false;
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -1,4 +1,4 @@
-//! What the front knows of callers' times and of the room for them.
+//! Detection of callers' retries, and retry times of refused callers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::policy::admission::Shed;
 use crate::policy::front::{AdmittedShare, RefusedCaller, RetryDetector, backoff, boosted_root};
 
-/// Most routes, and most classes of services, of which anything is known; the
-/// names of earlier configurations are dropped when there are more.
+/// Maximum number of routes, and of classes of services, that state is kept for.
+/// A full map is cleared, which drops the names of earlier configurations.
 const MAX_ENTRIES: usize = 4096;
 
-/// What the front knows of callers' times and of the room for them.
+/// Detected retries by route, and admitted shares by service and class.
 #[derive(Default)]
 pub(super) struct FrontState {
     retries: Mutex<HashMap<RouteName, RetryDetector>>,
@@ -26,8 +26,8 @@
 }
 
 impl FrontState {
-    /// Takes note of a request, and returns how long its caller has waited if it
-    /// is a retry.
+    /// Records a request, and returns how long its caller has waited if it is a
+    /// retry.
     fn observe(&self, caller_time: &CallerTime) -> Option<Duration> {
         let now = caller_time.arrived_at;
         let mut retries = self.retries.lock();
@@ -40,7 +40,8 @@
         detector.observe(now, caller_time.timeout)
     }
 
-    /// Takes note of the level that a service demands of a class.
+    /// Records the level that a service demands of a class, and returns the
+    /// admitted share.
     fn record_level(
         &self,
         now: Instant,
@@ -60,8 +61,8 @@
 }
 
 impl Context {
-    /// Takes note of the time that a caller has, and puts one who comes back
-    /// before others of its class.
+    /// Records the timeout of a caller, and boosts the priority of a retry within
+    /// its class.
     pub(super) fn boost_returning(&self, accepted: &mut AcceptedRequest) {
         if !accepted.front_options.uses_time() || accepted.parent.is_some() {
             return;
@@ -81,13 +82,13 @@
         }
     }
 
-    /// Tells a caller that is refused for want of room when to come back.
+    /// Sets when a caller that is refused because of overload may retry.
     pub(super) fn set_backoff(&self, accepted: &AcceptedRequest, refusal: &mut Refusal) {
         let sets_backoff = accepted.front_options.backoff
             && accepted.parent.is_none()
             && refusal.verdict() == Verdict::NotRun
             && refusal.reason().is_overload()
-            // The server's rate says when there is room.
+            // These get their retry time from the server's requested rate.
             && refusal.reason() != Reason::Shed(Shed::Limited);
         let (true, Some(caller_time)) = (sets_backoff, &accepted.caller_time) else {
             return;
@@ -107,7 +108,7 @@
         refusal.retry_after = Some(time);
         self.shared.metrics.count("callers_told_when");
         if self.shared.decisions.may_log() {
-            spdlog::info!("caller told when to return", kv: {
+            spdlog::info!("refused call with a retry time", kv: {
                 call = accepted.head.call.to_string().as_str(),
                 service = service.as_str(),
                 class = accepted.head.class.as_str(),
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! The entry of one daemon.
+//! The entry of one daemon: handling of requests from arrival to answer.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 use crate::tables::{Detail, Shared, Step};
 use crate::web::{CallerAnswer, Payload};
 
-/// The name in metrics of callers and classes that are not declared.
+/// Metric label of callers and classes that are not declared.
 const OTHER_LABEL: &str = "other";
 
-/// How long after the deadline the word of the guard is waited for, which may
-/// say that the call has not run.
+/// How long after the deadline the entry waits for the guard, which may still
+/// report that the call has not run.
 const VERDICT_GRACE: Duration = Duration::from_millis(50);
 
-/// Takes calls and brings back their answers.
+/// Accepts requests of callers, forwards them and returns the answers.
 pub struct Entry {
     pub(super) context: Context,
     repeat_detector: Mutex<RepeatDetector>,
@@ -46,7 +46,7 @@
 }
 
 impl Entry {
-    /// Makes the entry of a daemon.
+    /// Creates the entry of a daemon.
     pub fn new(shared: Arc<Shared>, guard: Arc<Guard>, pool: Arc<Pool>) -> Arc<Self> {
         Arc::new(Self {
             context: Context::new(shared, guard, pool),
@@ -56,23 +56,23 @@
         })
     }
 
-    /// Returns the number of calls under way.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Refuses all new calls of callers from now on; onward calls of calls
-    /// that the backend server still works on are taken.
+    /// Refuses new calls of callers from now on. Onward calls of parent calls
+    /// that are still running are accepted.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether new calls of callers are refused.
+    /// Returns whether new calls of callers are refused.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Serves a request; it is dropped when the caller leaves.
+    /// Handles a request. The future is dropped if the caller disconnects.
     pub(super) async fn handle(self: Arc<Self>, arrival: Arrival, from: IpAddr) -> CallerAnswer {
         let _in_flight = InFlightCount::new(&self.in_flight);
         let shared = &self.context.shared;
@@ -123,12 +123,12 @@
         let attempt = Attempt::plan();
         let shared = &self.context.shared;
         let Some(in_force) = shared.current.get() else {
-            return Err(attempt.refuse(Reason::NoConfig, "no configuration was applied yet"));
+            return Err(attempt.refuse(Reason::NoConfig, "no configuration has been applied yet"));
         };
         let mut accepted = accept(parts, arrived_at, from, &in_force.estate, shared)
             .map_err(|rejected| Attempt::plan().refuse(rejected.reason, rejected.detail))?;
         if self.is_closed() && accepted.parent.is_none() {
-            return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon stops"));
+            return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon is shutting down"));
         }
         self.context.boost_returning(&mut accepted);
         Ok(accepted)
@@ -142,7 +142,7 @@
             .metrics
             .ended(OTHER_LABEL, OTHER_LABEL, Ending::Failed, Duration::ZERO, 0);
         if shared.decisions.may_log() {
-            spdlog::info!("request not taken", kv: {
+            spdlog::info!("request rejected", kv: {
                 request = id,
                 outcome = reason,
                 detail = &*refusal.detail,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Runs a request within the rate of its workspace.
+    /// Runs a request if the rate limit of its workspace allows it.
     async fn run_within_rate(
         &self,
         accepted: &mut AcceptedRequest,
@@ -201,7 +201,7 @@
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
         self.count_repeat(accepted);
         let latest = accepted.head.deadline + VERDICT_GRACE;
-        // Made in place: a future that is named first is kept twice.
+        // Built inline: a future bound to a variable first would be stored twice.
         match timeout_at(
             latest,
             ForwardedCall::new(&self.context, accepted).run(body),
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Returns what a request asks for and who asks, unless its body is yet to
-    /// come.
+    /// Returns the fingerprint of a request and its caller, unless the body is
+    /// streamed.
     fn fingerprint(
         &self,
         accepted: &AcceptedRequest,
@@ -234,7 +234,7 @@
             target: &accepted.head.target,
             body,
         };
-        // A workspace is the same caller at whichever VM it asks.
+        // A workspace is the same caller, whichever VM sends the request.
         let workspace = accepted
             .workspace
             .as_ref()
@@ -274,13 +274,13 @@
         metrics.ended(class, caller, ending, latency, outcome.retries);
     }
 
-    /// Logs how a call ended that was not answered well.
+    /// Logs a call that was refused or answered with a server error.
     fn log_failure(
         &self,
         id: &str,
         accepted: &AcceptedRequest,
         call_outcome: &CallOutcome,
-        took: Duration,
+        latency: Duration,
     ) {
         let shared = &self.context.shared;
         let is_failure = match &call_outcome.result {
@@ -299,14 +299,14 @@
                 refusal.detail.clone(),
             ),
         };
-        let left = head.deadline.saturating_duration_since(Instant::now());
+        let time_left = head.deadline.saturating_duration_since(Instant::now());
         let targets: Vec<String> = call_outcome
             .targets
             .iter()
             .map(ToString::to_string)
             .collect();
         let targets = targets.join(" ");
-        let asks = head.fingerprint.map(|asks| asks.to_string());
+        let fingerprint = head.fingerprint.map(|digest| digest.to_string());
         let workspace = accepted
             .workspace
             .as_ref()
@@ -321,16 +321,16 @@
             outcome,
             verdict,
             detail = &*detail,
-            asks = asks.as_deref().unwrap_or_default(),
+            asks = fingerprint.as_deref().unwrap_or_default(),
             targets = targets.as_str(),
             retries = call_outcome.retries,
-            took_ms = took.as_millis() as u64,
-            left_ms = left.as_millis() as u64,
+            took_ms = latency.as_millis() as u64,
+            left_ms = time_left.as_millis() as u64,
             version = shared.current.version().get()
         });
     }
 
-    /// Offers a key that can be used now, where the one that was sent cannot.
+    /// Returns a key that can be used now if the key of the request can't.
     fn replacement_ticket(&self, accepted: &AcceptedRequest, refusal: &Refusal) -> Option<OnceKey> {
         match refusal.reason() {
             Reason::Once(OnceRefusal::NotOwned | OnceRefusal::NoPlatform) => {
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Issues a key bound to an instance of the service that takes calls.
+    /// Issues a key bound to a serving instance of the service.
     pub fn issue_ticket(&self, service: &ServiceName) -> Option<OnceKey> {
         let table = self.context.shared.routes.table(service);
         let table = table.lock();
@@ -356,13 +356,13 @@
         Some(OnceKey::ticket(serving[index]))
     }
 
-    /// Returns the call ids that this entry has notes on.
+    /// Returns the notes on a call in the journal of this daemon.
     pub fn explain(&self, call: CallId) -> Vec<crate::tables::Note> {
         self.context.shared.journal.find(call)
     }
 }
 
-/// Counts a call while it is under way.
+/// Counts a call as in flight until it is dropped.
 struct InFlightCount<'e>(&'e AtomicUsize);
 
 impl<'e> InFlightCount<'e> {
--- a/src/entry/header.rs
+++ b/src/entry/header.rs
@@ -1,4 +1,4 @@
-//! The headers of answers between callers and the entry.
+//! Headers of the entry's answers to callers.
 
 use http::HeaderName;
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes calls from callers and from the own backend server.
+//! The entry: accepts calls from callers and from the own backend server.
 
 mod accept;
 mod answer;
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -1,5 +1,5 @@
-//! What only calls that must run at most once need: their home, and asking what
-//! became of them.
+//! Calls that must run at most once: finding the owner of their key, and asking
+//! for the outcome of a lost call.
 
 use tokio::time::Instant;
 
@@ -11,11 +11,12 @@
 use crate::task::read_home;
 
 impl ForwardedCall<'_> {
-    /// Reads the home row anew if nobody owns the key by the row known here.
+    /// Reads the ownership row again if the known row names no owner of the key.
     ///
     /// # Errors
     ///
-    /// If nobody owns it by the row just read either, nobody can have run it.
+    /// Refuses the call if the new row names no owner either: then no instance can
+    /// have run it.
     pub(super) async fn refresh_ownership(&self) -> Result<(), Refusal> {
         let Some(once) = &self.head().once else {
             return Ok(());
@@ -41,8 +42,8 @@
         destination(key, home.as_ref().map(|home| &*home.row), &view, service)
     }
 
-    /// Counts an attempt as sent to the only instance that may take it, unless
-    /// that has failed too often just now.
+    /// Returns whether an attempt may be sent to the owner of the key, and counts
+    /// it as sent. An owner that failed too often recently gets no attempts.
     pub(super) fn may_reach(&self, instance: Instance) -> bool {
         let now = Instant::now();
         self.table(|table| {
@@ -54,8 +55,8 @@
         })
     }
 
-    /// Asks the same instance what became of a once call that was lost, and
-    /// follows a claim to the instance that holds it.
+    /// Asks the same instance for the outcome of a lost once call, and follows a
+    /// claim to the owner that it names.
     pub(super) async fn resolve_once(
         &mut self,
         target: Instance,
@@ -88,7 +89,7 @@
         peer::inquire(pool, target, &head.service, key, head.deadline).await
     }
 
-    /// Learns the outcome from the instance that a claim names.
+    /// Asks the owner that a claim names for the outcome.
     async fn follow_claim(&self, key: &OnceKey, failed: Refusal) -> Result<Reply, Refusal> {
         let Ok(owner) = failed.detail.parse::<Instance>() else {
             return Err(failed);
--- a/src/entry/rate.rs
+++ b/src/entry/rate.rs
@@ -1,4 +1,4 @@
-//! Requests by the rate of their workspace.
+//! Rate limits of workspaces.
 
 use std::sync::Arc;
 
@@ -10,23 +10,23 @@
 use crate::tables::{Credit, spread};
 use crate::task::ask_for_credit;
 
-/// The credit that a request has taken; given back unless it may have run.
+/// Credit taken for a request; refunded unless the request may have run.
 pub(super) struct CreditCharge(Arc<Credit>);
 
 impl CreditCharge {
-    /// Gives the credit back, since no backend server got the request.
+    /// Refunds the credit, since no backend server received the request.
     pub(super) fn refund(self) {
         self.0.give_back();
     }
 }
 
 impl Context {
-    /// Takes credit for a request of a limited workspace. One that finds none
-    /// here waits for the coordinator's answer, which is bounded.
+    /// Takes credit for a request of a limited workspace. Without local credit,
+    /// the request waits for the coordinator's answer for a bounded time.
     ///
     /// # Errors
     ///
-    /// Refuses what is over the rate, with when there is credit again.
+    /// Refuses a request over the rate, with the time until there is credit again.
     pub(super) async fn charge_credit(
         &self,
         accepted: &AcceptedRequest,
@@ -40,7 +40,7 @@
         let credit = self.shared.rates.credit(&workspace.name);
         credit.arrived();
         loop {
-            // Made before looking, so that no answer in between is missed.
+            // Registered before the credit is checked, so that no answer is missed.
             let mut notified = std::pin::pin!(credit.told.notified());
             notified.as_mut().enable();
             let members = self.shared.ring().len();
@@ -53,13 +53,13 @@
                 CreditDecision::Admit => return Ok(Some(CreditCharge(Arc::clone(&credit)))),
                 CreditDecision::Refuse(wait) => return Err(over_rate(limit, wait)),
                 CreditDecision::AskCoordinator if credit.is_asking() => notified.await,
-                // It has been answered just now.
+                // The answer has arrived since the credit was checked.
                 CreditDecision::AskCoordinator => tokio::task::yield_now().await,
             }
         }
     }
 
-    /// Asks the coordinator, also if the request that needs it is given up.
+    /// Asks the coordinator for credit, even if the request is given up meanwhile.
     fn query_coordinator(
         &self,
         workspace: &CallerWorkspace,
@@ -73,7 +73,10 @@
 }
 
 fn over_rate(limit: Limit, wait: std::time::Duration) -> Refusal {
-    let detail = format!("{} and {} at once are used up", limit.rate, limit.burst);
+    let detail = format!(
+        "rate limit of {} with a burst of {} is exceeded",
+        limit.rate, limit.burst
+    );
     let mut refusal = Attempt::plan().refuse(Reason::OverRate, detail);
     refusal.retry_after = Some(spread(wait));
     refusal
--- a/src/entry/rejection.rs
+++ b/src/entry/rejection.rs
@@ -1,16 +1,14 @@
-//! A request that the entry does not take.
+//! Rejection of invalid requests.
 
 use crate::call::Reason;
 
-/// A request that was not understood.
+/// Why a request is rejected.
 pub(super) struct Rejection {
-    /// Why.
     pub(super) reason: Reason,
-    /// What is wrong, for people.
+    /// What is wrong, as text for people.
     pub(super) detail: Box<str>,
 }
 
-/// Makes one of a reason and what is wrong.
 pub(super) fn reject(reason: Reason, detail: impl Into<Box<str>>) -> Rejection {
     Rejection {
         reason,
--- a/src/entry/retry.rs
+++ b/src/entry/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a call is attempted again after an attempt failed.
+//! Decides whether a call is attempted again after a failed attempt.
 
 use tokio::time::Instant;
 
@@ -8,20 +8,20 @@
 use crate::policy::admission::Shed;
 use crate::policy::retry::{FailedAttempt, RetryDecision, decide_retry};
 
-/// Most guards that one call is refused by before it is given up; more would
-/// make refusals late.
+/// Refusals by guards after which a call is given up or waits; more would delay
+/// the refusal.
 pub(super) const MAX_GUARD_REFUSALS: u32 = 3;
 
-/// How often a call is asked again of backend servers that refused it. Where
-/// they refuse 55 in 100, as some do for seconds, fewer than one call in two
-/// hundred is refused that often in a row.
+/// How often a call is sent again to backend servers that rejected it. If they
+/// reject 55 of 100 calls, as some do for seconds, fewer than 1 call in 200 is
+/// rejected that often in a row.
 const MAX_REJECTION_RETRIES: u32 = 8;
 
 impl ForwardedCall<'_> {
-    /// Weakens `not-run` where earlier attempts at the call may have run.
+    /// Weakens `not-run` if earlier attempts at the call may have run.
     ///
-    /// Of a key that the caller may have sent before, elsewhere, only the
-    /// instance that may start it can say that it was not run.
+    /// If the caller may already have sent the key elsewhere, only the owner of
+    /// the key can report that the call was not run.
     pub(super) fn weaken_verdict(&self, refusal: Refusal) -> Refusal {
         let may_be_repeat = self.head().once.is_some()
             && self.accepted.attempt_number != Some(1)
@@ -34,7 +34,7 @@
         refusal.after(earlier)
     }
 
-    /// Decides on another attempt after one failed.
+    /// Records a failed attempt and decides whether to make another.
     pub(super) fn should_retry(&mut self, failed: &Refusal) -> bool {
         let head = &self.accepted.head;
         if failed.verdict() == Verdict::MayHaveRun {
@@ -45,8 +45,8 @@
         } else if head.once.is_none() {
             return self.may_try_other_guard(failed);
         }
-        // A lost once call is repeated at the same instance, whose ledger
-        // keeps it from running twice.
+        // A lost once call is retried at the same instance, whose ledger
+        // prevents a second run.
         let is_once_retry = head.once.is_some()
             && matches!(
                 failed.reason(),
@@ -55,8 +55,8 @@
         if !is_once_retry && !failed.reason().may_differ_elsewhere() {
             return false;
         }
-        // A call that every server has refused may be asked of them again; one
-        // that may have run counts against the servers it may be sent to.
+        // A rejected call may be sent again to servers that rejected it; after
+        // any other failure the maximum number of servers applies.
         let max_servers = match failed.reason() {
             Reason::Rejected => self.accepted.max_servers + MAX_REJECTION_RETRIES,
             _ => self.accepted.max_servers,
@@ -86,8 +86,8 @@
         }) == RetryDecision::Retry
     }
 
-    /// Decides whether a call that no backend server has seen is tried at
-    /// another guard; that is no retry, since nothing was asked of a server.
+    /// Counts a refusal by a guard and decides whether to try another guard.
+    /// That is not a retry, since no backend server has received the call.
     fn may_try_other_guard(&mut self, failed: &Refusal) -> bool {
         let reason = failed.reason();
         let elsewhere = reason.may_differ_elsewhere() || reason.is_overload();
@@ -95,8 +95,8 @@
         elsewhere && (self.guard_refusals <= MAX_GUARD_REFUSALS || self.may_wait_after(failed))
     }
 
-    /// Tells whether a call that found no room below the rate of a backend
-    /// server may still wait there.
+    /// Returns whether a call refused because of a backend server's requested
+    /// rate may wait at that server instead.
     pub(super) fn may_wait_after(&self, failed: &Refusal) -> bool {
         !self.may_wait && failed.reason() == Reason::Shed(Shed::Limited)
     }
--- a/src/entry/retry_source.rs
+++ b/src/entry/retry_source.rs
@@ -1,4 +1,4 @@
-//! The retry account that a call draws on.
+//! The retry account that a call uses.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::policy::retry::RetryAccount;
 use crate::tables::Held;
 
-/// The account that a call draws on: its parent's or its own.
+/// The account that a call uses: its own or that of its parent call.
 pub(super) enum RetrySource {
     Own(Mutex<RetryAccount>),
     Parent(Arc<Held>),
--- a/src/entry/route_match.rs
+++ b/src/entry/route_match.rs
@@ -1,4 +1,4 @@
-//! The service and class of a request, by routes or by its host.
+//! Service and class of a request, found by route or by host.
 
 use http::header::HOST;
 use http::request::Parts;
@@ -9,17 +9,17 @@
 use crate::model::{ClassRank, Retries};
 use crate::tables::Splits;
 
-/// Where a request belongs.
+/// The service, class and route that a request matches.
 pub(super) struct RouteMatch<'e> {
     pub(super) service: &'e Service,
     pub(super) rank: ClassRank,
     pub(super) class: &'e Class,
-    /// The route that matched, where there are routes.
+    /// The matching route, if the configuration has routes.
     pub(super) route: Option<&'e Route>,
 }
 
 impl RouteMatch<'_> {
-    /// Returns the retries that a request of its own may use.
+    /// Returns the retries that a request without a parent call may use.
     pub(super) fn max_retries(&self, class: &Class) -> Retries {
         match self.route {
             Some(route) if route.attempts <= 1 => Retries::new(0),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the most backend servers that a call may be sent to.
+    /// Returns the maximum number of backend servers that a call is sent to.
     pub(super) fn max_servers(&self, class: &Class) -> u32 {
         match self.route {
             Some(route) => route.attempts.max(1),
@@ -36,14 +36,14 @@
     }
 }
 
-/// Returns the host that a request names, without its port.
+/// Returns the host of a request without its port.
 pub(super) fn request_host(parts: &Parts) -> &str {
     let header = || parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = parts.uri.host().or_else(header).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// Finds where a request belongs.
+/// Finds the service and class of a request.
 pub(super) fn match_request<'e>(
     parts: &Parts,
     estate: &'e Estate,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Tells whether a safe request may run twice without harm.
+/// Returns whether a safe request may run twice without harm.
 pub(super) fn may_repeat(parts: &Parts, estate: &Estate) -> bool {
     if !estate.routes.is_empty() {
         let route = estate.route(request_host(parts), parts.uri.path());
@@ -75,7 +75,7 @@
         .find(|(name, _)| name.as_str() == label)
         .map(|(_, service)| service)
         .ok_or_else(|| {
-            let detail = format!("Host \"{host}\" names no service; write SERVICE or SERVICE.any");
+            let detail = format!("Host \"{host}\" matches no service; use SERVICE or SERVICE.any");
             reject(Reason::NoSuchService, detail)
         })?;
     let (rank, class) = estate.classify(service, parts.method.as_str(), parts.uri.path());
@@ -96,11 +96,11 @@
     let unknown = |detail: String| reject(Reason::NoSuchService, detail);
     let route = estate
         .route(host, path)
-        .ok_or_else(|| unknown(format!("no route of host \"{host}\" begins the path")))?;
+        .ok_or_else(|| unknown(format!("no route of host \"{host}\" matches the path")))?;
     let share = splits.choose(route);
     let service = share
         .and_then(|share| estate.services.get(&share.service))
-        .ok_or_else(|| reject(Reason::Unreachable, "the route leads to no service"))?;
+        .ok_or_else(|| reject(Reason::Unreachable, "the route has no declared service"))?;
     let (rank, class) = estate
         .class(route.class.as_str())
         .ok_or_else(|| reject(Reason::Unreachable, "the route's class is not declared"))?;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Serving of callers by HTTP.
+//! HTTP service for callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::error::Error;
 use crate::web::{Listening, Serve, Work, listen_ahead};
 
-/// Serves callers by HTTP.
+/// Serves callers over HTTP.
 ///
 /// # Errors
 ///
@@ -25,31 +25,32 @@
     listen_ahead(address, ahead, CallerService(entry)).await
 }
 
-/// The requests of callers.
+/// Handles the requests of callers.
 #[derive(Clone)]
 struct CallerService(Arc<Entry>);
 
 impl CallerService {
-    /// Tells whether a request may be begun before those in front of it are
-    /// answered: one that is dropped unanswered is sent again.
+    /// Returns whether a pipelined request may start before earlier ones are
+    /// answered. The caller sends it again if it is dropped without an answer, so
+    /// it must be safe to repeat.
     fn may_start(&self, parts: &Parts) -> bool {
         let in_force = self.0.context.shared.current.get();
         let may_repeat = in_force.is_some_and(|rules| may_repeat(parts, &rules.estate));
         may_repeat && !self.0.is_closed()
     }
 
-    /// Counts a request that is begun, and logs it.
+    /// Counts and logs a pipelined request that is started early.
     fn record_started(&self, parts: &Parts) {
         let shared = &self.0.context.shared;
         shared.metrics.count("begun_ahead");
         if shared.decisions.may_log() {
             let request = shared.protocol.id(&parts.headers);
-            spdlog::info!("request begun ahead", kv: { request });
+            spdlog::info!("pipelined request started early", kv: { request });
         }
     }
 
     fn start(&self, arrival: Arrival, from: SocketAddr) -> Work {
-        // Put on the heap at once: it is large, and would be copied thrice.
+        // Boxed at once: the future is large and would be copied three times.
         Box::pin(Arc::clone(&self.0).handle(arrival, from.ip()))
     }
 }
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -1,4 +1,4 @@
-//! Where an attempt at a call goes.
+//! Choice of the target of an attempt.
 
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
 use crate::policy::route::{CallNeeds, Pick, Table};
 
 impl ForwardedCall<'_> {
-    /// Chooses where an attempt goes, or says why nowhere.
+    /// Chooses the target of an attempt, or refuses the call.
     pub(super) fn choose_target(
         &mut self,
         attempt: Attempt<Planned>,
@@ -26,7 +26,7 @@
             return Err(refuse_quarantined(attempt, left));
         }
         if let Some(once) = &head.once {
-            // No other instance may start it.
+            // No other instance may start the call.
             self.may_wait = true;
             return match self.destination(&once.key) {
                 Destination::Instance(instance) if self.may_reach(instance) => {
@@ -38,15 +38,15 @@
         }
         let needs = self.needs();
         let now = Instant::now();
-        let picked = self.table(|table| self.pick_target(table, now, needs));
-        match picked {
+        let pick = self.table(|table| self.pick_target(table, now, needs));
+        match pick {
             Pick::Target(instance) => Ok((attempt, instance)),
             Pick::Wait(instance) => {
                 self.may_wait = true;
                 Ok((attempt, instance))
             }
             Pick::Refused(_) => Err(self.refuse(now, attempt)),
-            Pick::NoTarget => Err(attempt.refuse(Reason::Unreachable, "no server takes calls")),
+            Pick::NoTarget => Err(attempt.refuse(Reason::Unreachable, "no server accepts calls")),
         }
     }
 
@@ -60,36 +60,36 @@
         refusal
     }
 
-    /// Chooses a target; once the call has been sent to as many backend servers
-    /// as it may, one of those that refused it without running it.
+    /// Picks a target. A server that rejected the call is picked again once the
+    /// maximum number of servers has done so, or if there is no other target.
     fn pick_target(&self, table: &mut Table, now: Instant, needs: CallNeeds) -> Pick {
         if self.rejecting_servers.len() >= self.accepted.max_servers as usize {
             return table.choose_among(now, &self.rejecting_servers);
         }
-        let picked = match table.choose_except(now, needs, &self.tried_targets, &mut rand::rng()) {
+        let pick = match table.choose_except(now, needs, &self.tried_targets, &mut rand::rng()) {
             Pick::NoTarget if !self.rejecting_servers.is_empty() => {
                 table.choose_among(now, &self.rejecting_servers)
             }
-            picked => picked,
+            pick => pick,
         };
-        match picked {
-            // No more guards are to send it elsewhere.
+        match pick {
+            // After so many refusals the call waits at the guard that it is sent to.
             Pick::Target(instance) if self.guard_refusals >= MAX_GUARD_REFUSALS => {
                 Pick::Wait(instance)
             }
-            picked => picked,
+            pick => pick,
         }
     }
 
-    /// Returns what is known of crashes that the request was under way at. The
-    /// guard that it goes to may not have heard of them yet: a caller comes
-    /// again sooner than news gets around.
+    /// Returns the known crashes that happened while the request was in flight.
+    /// The target guard may not have received them yet, since a caller can retry
+    /// sooner than gossip spreads.
     pub(super) fn suspect(&self) -> Option<Suspect> {
         let request = self.head().fingerprint?;
         self.context.shared.suspects.get(request)
     }
 
-    /// Returns what may be done with the request by what is known of crashes.
+    /// Returns the restriction on the request that follows from known crashes.
     fn run_restriction(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
         Some(self.context.shared.suspects.standing(request))
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! The real programs on loopback: a call, an apply, a planned stop.
+//! Runs the real programs on loopback: a call, an apply and a planned stop.
 
 #![allow(missing_docs)]
 
@@ -68,7 +68,7 @@
     })
     .await;
 
-    // A stop while a call is in flight: the call ends whole, then the daemon.
+    // A planned stop lets a call in flight finish before the daemon exits.
     let (u, h) = (url.clone(), host.clone());
     let in_flight = tokio::spawn(async move { request(Method::GET, &u, h, Bytes::new()).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -1,7 +1,7 @@
-//! What an entry learns of servers of uneven speed from real answers.
+//! Latency that an entry records for servers of uneven speed.
 //!
-//! The failure answered here: one of three servers fails every request at once
-//! and says so, one answers slowly. What fails fast must not pass for fast.
+//! Guards against a failing server being rated as fast: one of three servers
+//! answers every request with an error at once, and another answers slowly.
 
 #![allow(missing_docs)]
 
@@ -22,7 +22,7 @@
     _listening: Listening,
 }
 
-/// Starts a server that gives each request the same answer after some time.
+/// Starts a server that gives each request the same answer after a delay.
 async fn server(store: SocketAddr, status: StatusCode, ms: u64) -> Server {
     let vm = vm_beside("svc", store).await;
     let listening = listen(vm.backend, move |request, _| async move {
@@ -46,14 +46,14 @@
     table.lock().latency_ratio(Instant::now(), at)
 }
 
-/// Requests end at 0.8 s where an answer has its full use for 1 s.
+/// Requests time out after 0.8 s on routes with an objective of 1 s.
 #[rstest]
 #[case::by_time("balance: auto\n", true)]
 #[case::by_load("", false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn entry_records_latency_of_successful_answers_only(
     #[case] line: &str,
-    #[case] learns: bool,
+    #[case] is_recorded: bool,
 ) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 0.8));
@@ -75,7 +75,10 @@
     }
     assert_eq!(latency_ratio(&entry, &failing), None);
     let (slow, quick) = (latency_ratio(&entry, &slow), latency_ratio(&entry, &quick));
-    assert_eq!((slow.is_some(), quick.is_some()), (learns, learns));
+    assert_eq!(
+        (slow.is_some(), quick.is_some()),
+        (is_recorded, is_recorded)
+    );
     assert!(
         slow.unwrap_or(1.5) > quick.unwrap_or(1.0),
         "{slow:?} {quick:?}"
--- a/tests/workspace_rates.rs
+++ b/tests/workspace_rates.rs
@@ -1,4 +1,4 @@
-//! Rates of workspaces as callers of several daemons see them.
+//! Rate limits of workspaces whose callers use several daemons.
 
 #![allow(missing_docs)]
 
@@ -10,11 +10,11 @@
 use http::{Method, StatusCode};
 use support::hosted::{Vm, keyed_document, store, vm};
 
-/// Five requests a second and five at once.
+/// Five requests per second with a burst of five.
 const FIVE_PER_S: &str = r#"{"north":{"apiKeys":["key-north"],"ratePerS":5,"burst":5},
     "south":{"apiKeys":["key-south"]}}"#;
 
-/// Requests that are tolerated beyond rate and burst, by the settings' default.
+/// Requests tolerated beyond rate and burst, by the default of the settings.
 const TOLERATED_REQUESTS: f64 = 10.0;
 
 async fn estate(
@@ -53,9 +53,9 @@
 async fn rate_holds_across_daemons_and_refusals_name_retry_time() {
     let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
-    let began = Instant::now();
+    let started_at = Instant::now();
     let (mut served, mut refused) = (0, 0);
-    while began.elapsed() < Duration::from_secs(3) {
+    while started_at.elapsed() < Duration::from_secs(3) {
         let requests = vms
             .iter()
             .map(|vm| vm.ask_with(Method::GET, "/read/x", "r1", &key));
@@ -73,7 +73,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
+    let allowed = 5.0 * started_at.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
     assert!(f64::from(served) <= allowed, "{served} of {allowed}");
     assert!(
         served >= 5 * 3 - 5,
@@ -118,7 +118,7 @@
     assert!(refused <= 2, "{refused} refused within the new rate");
 }
 
-/// What no backend server got costs the workspace nothing.
+/// A request that no backend server received uses no credit of the workspace.
 #[tokio::test]
 async fn refusal_for_other_reason_refunds_credit() {
     let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
@@ -130,13 +130,13 @@
     assert_eq!(runs(&vms), 0);
 }
 
-/// The coordinator of the workspace ends; the others go on at their shares, and
-/// do not hold requests for it.
+/// Kills the coordinator of the workspace. The other daemons keep admitting their
+/// shares and don't keep requests waiting for it.
 #[tokio::test]
 async fn rate_holds_after_coordinator_is_killed() {
     let (mut vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
-    // A coordinator that has just become it does not know what another has lent.
+    // A new coordinator does not know what credit its predecessor granted.
     tokio::time::sleep(Duration::from_secs(1)).await;
     for vm in &vms {
         let answer = vm.ask_with(Method::GET, "/read/x", "r1", &key).await;
@@ -150,9 +150,9 @@
         .position(|vm| vm.daemon.shared().instance.address == address);
     let killed = vms.remove(index.expect("a VM"));
     killed.daemon.kill();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut served = 0;
-    while began.elapsed() < Duration::from_secs(4) {
+    while started_at.elapsed() < Duration::from_secs(4) {
         let sent = Instant::now();
         let answer = vms[0].ask_with(Method::GET, "/read/x", "r1", &key).await;
         assert!(
@@ -164,6 +164,6 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     assert!(served >= 3, "{served} served while the coordinator is gone");
-    let allowed = 5.0 * began.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
+    let allowed = 5.0 * started_at.elapsed().as_secs_f64() + 5.0 + TOLERATED_REQUESTS;
     assert!(f64::from(served) <= allowed, "{served} of {allowed}");
 }
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Keys and workspaces: who may call, and what the backend server is told.
+//! API keys of workspaces: who may call, and which headers the backend server gets.
 
 #![allow(missing_docs)]
 
@@ -86,15 +86,15 @@
 async fn removed_api_key_is_refused(#[case] later: &str) {
     let (vm, _listening, rows) = started(TWO_WORKSPACES).await;
     let sent = [("api-key", "key-north-1")];
-    let asked = || vm.ask_with(Method::GET, "/read/x", "r1", &sent);
-    assert_eq!(asked().await.status, StatusCode::OK);
+    let send_request = || vm.ask_with(Method::GET, "/read/x", "r1", &sent);
+    assert_eq!(send_request().await.status, StatusCode::OK);
     rows.put("op", "config", &keyed_document(8, "svc", later));
     eventually("the key is refused", || async {
-        (asked().await.status == StatusCode::UNAUTHORIZED).then_some(())
+        (send_request().await.status == StatusCode::UNAUTHORIZED).then_some(())
     })
     .await;
-    // An older version that comes late brings it back to nobody.
+    // An older version that arrives late doesn't restore the key.
     rows.put("op", "config", &keyed_document(7, "svc", TWO_WORKSPACES));
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-    assert_eq!(asked().await.status, StatusCode::UNAUTHORIZED);
+    assert_eq!(send_request().await.status, StatusCode::UNAUTHORIZED);
 }
