--- a/src/entry/attempt_reporter.rs
+++ b/src/entry/attempt_reporter.rs
@@ -45,8 +45,8 @@
         };
         let notices = &self.forward.context.shared.notices;
         match (result, status.and_then(|status| status.told)) {
-            (_, Some(notice)) => notices.hear(self.target.address, notice),
-            (Ok(_), None) => notices.hear_none(self.target.address),
+            (_, Some(notice)) => notices.record(self.target.address, notice),
+            (Ok(_), None) => notices.record_none(self.target.address),
             // A guard that refuses may not have received its server's notice yet.
             (Err(_), None) => {}
         }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -18,7 +18,7 @@
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
 use crate::policy::route::Table;
-use crate::tables::{Detail, Step};
+use crate::tables::{CallStep, StepDetail};
 use crate::web::Payload;
 
 /// The result of a call, with the retries that the entry made.
@@ -63,7 +63,7 @@
             context,
             retry_source,
             accepted,
-            targets: context.shared.routes.table(&accepted.head.service),
+            targets: context.shared.targets.table(&accepted.head.service),
             retries: 0,
             earlier_verdict: Verdict::NotRun,
             tried_targets: Vec::new(),
@@ -109,7 +109,7 @@
                 refused,
                 failed,
             };
-            parent.met(outcome);
+            parent.record_onward(outcome);
         }
         CallOutcome {
             result,
@@ -161,8 +161,8 @@
             }
             self.retries += 1;
             let journal = &self.context.shared.journal;
-            let reason = Detail::Word(failed.reason().as_str());
-            journal.note(self.head().call, Step::Retried, reason);
+            let reason = StepDetail::Word(failed.reason().as_str());
+            journal.record(self.head().call, CallStep::Retried, reason);
             last = Some(failed);
         }
     }
@@ -185,9 +185,9 @@
     ) -> Result<Reply, Refusal> {
         let grant = self.retry_source.with_account(RetryAccount::grant);
         let journal = &self.context.shared.journal;
-        journal.note(self.head().call, Step::Sent, Detail::Target(target));
+        journal.record(self.head().call, CallStep::Sent, StepDetail::Target(target));
         let reporter = AttemptReporter::new(self, target);
-        let notice = self.context.shared.notices.of(target.address);
+        let notice = self.context.shared.notices.get(target.address);
         let result = if target == self.context.shared.instance {
             let call = self.local_call(attempt.id(), grant.retries, body, notice);
             // Boxed, so that calls to other daemons don't reserve space for it.
@@ -207,7 +207,7 @@
         if let Some(crash) = result.as_ref().err().and_then(|refusal| refusal.crash) {
             self.context
                 .shared
-                .note_crash(self.head().fingerprint, crash);
+                .record_crash(self.head().fingerprint, crash);
         }
         reporter.report(&result);
         self.settle_grant(grant, &result);
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -27,7 +27,7 @@
 use crate::policy::once::OnceRefusal;
 use crate::policy::retry::RepeatDetector;
 use crate::policy::route::TargetState;
-use crate::tables::{Detail, Shared, Step};
+use crate::tables::{CallStep, Shared, StepDetail};
 use crate::web::{CallerAnswer, Payload};
 
 /// Metric label of callers and classes that are not declared.
@@ -91,23 +91,29 @@
             }
         };
         let call = accepted.head.call;
-        shared.journal.note(call, Step::Entered, Detail::None);
+        shared
+            .journal
+            .record(call, CallStep::Entered, StepDetail::None);
         let outcome = self.run_within_rate(&mut accepted, &parts, body).await;
         self.record_metrics(&accepted, &outcome, arrived_at.elapsed());
         self.log_failure(answers.id(), &accepted, &outcome, arrived_at.elapsed());
         match outcome.result {
             Ok(reply) => {
-                shared
-                    .journal
-                    .note(call, Step::Answered, Detail::Status(reply.head.status));
+                shared.journal.record(
+                    call,
+                    CallStep::Answered,
+                    StepDetail::Status(reply.head.status),
+                );
                 answers.reply(call, reply)
             }
             Err(mut refusal) => {
                 self.context.set_backoff(&accepted, &mut refusal);
                 self.context.add_retry_after(&mut refusal);
-                shared
-                    .journal
-                    .note(call, Step::Refused, Detail::Word(refusal.reason().as_str()));
+                shared.journal.record(
+                    call,
+                    CallStep::Refused,
+                    StepDetail::Word(refusal.reason().as_str()),
+                );
                 let ticket = self.replacement_ticket(&accepted, &refusal);
                 answers.refusal(Some(call), &refusal, ticket.as_ref())
             }
@@ -141,7 +147,7 @@
         shared
             .metrics
             .ended(OTHER_LABEL, OTHER_LABEL, Ending::Failed, Duration::ZERO, 0);
-        if shared.decisions.may_log() {
+        if shared.log_limiter.try_take() {
             spdlog::info!("request rejected", kv: {
                 request = id,
                 outcome = reason,
@@ -287,7 +293,7 @@
             Ok(reply) => reply.head.status.is_server_error(),
             Err(_) => true,
         };
-        if !is_failure || !shared.decisions.may_log() {
+        if !is_failure || !shared.log_limiter.try_take() {
             return;
         }
         let head = &accepted.head;
@@ -342,7 +348,7 @@
 
     /// Issues a key bound to a serving instance of the service.
     pub fn issue_ticket(&self, service: &ServiceName) -> Option<OnceKey> {
-        let table = self.context.shared.routes.table(service);
+        let table = self.context.shared.targets.table(service);
         let table = table.lock();
         let serving: Vec<_> = table
             .targets()
@@ -357,7 +363,7 @@
     }
 
     /// Returns the notes on a call in the journal of this daemon.
-    pub fn explain(&self, call: CallId) -> Vec<crate::tables::Note> {
+    pub fn explain(&self, call: CallId) -> Vec<crate::tables::JournalEntry> {
         self.context.shared.journal.find(call)
     }
 }
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -8,7 +8,7 @@
 use crate::model::{Instance, OnceKey, Verdict};
 use crate::peer;
 use crate::policy::once::{Destination, OnceRefusal, destination};
-use crate::task::read_home;
+use crate::task::read_ownership;
 
 impl ForwardedCall<'_> {
     /// Reads the ownership row again if the known row names no owner of the key.
@@ -26,7 +26,7 @@
             return Ok(());
         }
         let service = &self.head().service;
-        if !Box::pin(read_home(&self.context.shared, service)).await
+        if !Box::pin(read_ownership(&self.context.shared, service)).await
             || self.destination(&once.key) != not_owned
         {
             return Ok(());
@@ -38,7 +38,7 @@
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
-        let home = shared.homes.get(service);
+        let home = shared.ownership.get(service);
         destination(key, home.as_ref().map(|home| &*home.row), &view, service)
     }
 
--- a/src/entry/retry_source.rs
+++ b/src/entry/retry_source.rs
@@ -5,12 +5,12 @@
 use parking_lot::Mutex;
 
 use crate::policy::retry::RetryAccount;
-use crate::tables::Held;
+use crate::tables::ParentCall;
 
 /// The account that a call uses: its own or that of its parent call.
 pub(super) enum RetrySource {
     Own(Mutex<RetryAccount>),
-    Parent(Arc<Held>),
+    Parent(Arc<ParentCall>),
 }
 
 impl RetrySource {
--- a/src/entry/route_match.rs
+++ b/src/entry/route_match.rs
@@ -7,7 +7,7 @@
 use crate::call::Reason;
 use crate::declare::{Class, Estate, Route, Service};
 use crate::model::{ClassRank, Retries};
-use crate::tables::Splits;
+use crate::tables::RouteSplits;
 
 /// The service, class and route that a request matches.
 pub(super) struct RouteMatch<'e> {
@@ -47,7 +47,7 @@
 pub(super) fn match_request<'e>(
     parts: &Parts,
     estate: &'e Estate,
-    splits: &Splits,
+    splits: &RouteSplits,
 ) -> Result<RouteMatch<'e>, Rejection> {
     if estate.routes.is_empty() {
         match_host(parts, estate)
@@ -90,7 +90,7 @@
 fn match_route<'e>(
     parts: &Parts,
     estate: &'e Estate,
-    splits: &Splits,
+    splits: &RouteSplits,
 ) -> Result<RouteMatch<'e>, Rejection> {
     let (host, path) = (request_host(parts), parts.uri.path());
     let unknown = |detail: String| reject(Reason::NoSuchService, detail);
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -43,7 +43,7 @@
     fn record_started(&self, parts: &Parts) {
         let shared = &self.0.context.shared;
         shared.metrics.count("begun_ahead");
-        if shared.decisions.may_log() {
+        if shared.log_limiter.try_take() {
             let request = shared.protocol.id(&parts.headers);
             spdlog::info!("pipelined request started early", kv: { request });
         }
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -92,7 +92,7 @@
     /// Returns the restriction on the request that follows from known crashes.
     fn run_restriction(&self) -> Option<RunRestriction> {
         let request = self.head().fingerprint?;
-        Some(self.context.shared.suspects.standing(request))
+        Some(self.context.shared.suspects.restriction(request))
     }
 
     fn needs(&self) -> CallNeeds {
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -1,4 +1,4 @@
-//! What a call's end at the backend server means for its entry.
+//! Replies and refusals to the entry for calls that were sent to the backend server.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -10,11 +10,11 @@
 use crate::call::{Attempt, Reason, Refusal, Reply, ReplyHead, Sent};
 use crate::model::{GuardNews, Retries};
 use crate::policy::admission::Outcome;
-use crate::tables::{Held, HeldCall};
+use crate::tables::{ParentCall, ParentCallGuard};
 use crate::web::{Chunks, Payload};
 
 impl Guard {
-    pub(super) fn close_call(&self, mut refusal: Refusal, held: &HeldCall) -> Refusal {
+    pub(super) fn close_call(&self, mut refusal: Refusal, held: &ParentCallGuard) -> Refusal {
         refusal.account = held.close();
         refusal
     }
@@ -23,7 +23,7 @@
         &self,
         attempt: Attempt<Sent>,
         error: &BackendError,
-        held: &HeldCall,
+        held: &ParentCallGuard,
     ) -> Refusal {
         let refusal = match error {
             BackendError::Connect(cause) | BackendError::NoListener(cause) => attempt
@@ -53,41 +53,40 @@
         self.close_call(refusal, held)
     }
 
-    /// Takes note of how a call ended; returns whether calls were made onwards
-    /// for it.
+    /// Records how a call ended; returns whether it made onward calls.
     pub(super) fn record_end(
         &self,
         slot: &mut SlotPermit,
-        held: &Held,
+        held: &ParentCall,
         status: StatusCode,
     ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        let met = held.take_met();
+        let outcomes = held.take_onward_outcomes();
         let answered = !status.is_server_error();
-        let refused = met.iter().any(|met| met.refused);
+        let refused = outcomes.iter().any(|outcome| outcome.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
-            let excused = met.iter().any(|met| met.failed);
+            let excused = outcomes.iter().any(|outcome| outcome.failed);
             slot.record_fault(!answered && !excused);
         }
-        slot.record_downstream(&met, answered);
+        slot.record_onward(&outcomes, answered);
         let outcome = match (refused, answered) {
             (true, false) => Outcome::Failed,
             _ if refused_here => Outcome::Refused,
             _ => Outcome::Answered,
         };
         slot.set_outcome(outcome);
-        !met.is_empty()
+        !outcomes.is_empty()
     }
 
-    /// Makes the reply; a large body is passed on by a task that keeps the
-    /// slot until its end.
+    /// Creates the reply; a task forwards a large body and holds the slot until the
+    /// body ends.
     pub(super) fn reply(
         &self,
         answer: ServerAnswer,
         onward: bool,
         slot: SlotPermit,
-        held: HeldCall,
+        held: ParentCallGuard,
     ) -> Reply {
         let mut head = ReplyHead {
             status: answer.status,
@@ -117,7 +116,7 @@
         length: Option<u64>,
         first: Bytes,
         rest: Incoming,
-        guards: (SlotPermit, HeldCall),
+        guards: (SlotPermit, ParentCallGuard),
     ) -> Payload {
         let (sender, chunks) = Chunks::channel();
         self.handle.spawn(async move {
