--- a/src/emulator/caller.rs
+++ b/src/emulator/caller.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::TAG;
-use crate::entry::{REASON, VERDICT};
+use crate::entry::{REASON_HEADER, VERDICT_HEADER};
 use crate::model::ServiceName;
 use crate::web::{Answer, Client};
 
@@ -168,8 +168,11 @@
     }
 
     fn judge(&self, answer: &Answer) -> Seen {
-        if answer.headers.contains_key(VERDICT) {
-            let reason = answer.headers.get(REASON).and_then(|r| r.to_str().ok());
+        if answer.headers.contains_key(VERDICT_HEADER) {
+            let reason = answer
+                .headers
+                .get(REASON_HEADER)
+                .and_then(|r| r.to_str().ok());
             return match reason {
                 Some("overload" | "downstream-overload" | "deadline") => Seen::Shed,
                 _ => Seen::Failed,
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -65,7 +65,7 @@
     let facts = shared.protocol.read(parts).map_err(bad_request)?;
     let matched = match_request(parts, estate, &shared.route_splits)?;
     let parent = facts.parent.and_then(|id| shared.parent_calls.get(id));
-    let declared = estate.caller(from);
+    let declared_caller = estate.caller(from);
     let workspace = caller_workspace(&facts, estate, &matched, parent.as_deref())?;
     let (rank, class) = match (&parent, workspace) {
         (Some(parent), _) => estate.class(parent.class.as_str()),
@@ -77,7 +77,7 @@
     }
     .unwrap_or((matched.rank, matched.class));
     if parent.is_none()
-        && let Some(caller) = declared
+        && let Some(caller) = declared_caller
         && !caller.classes.is_empty()
         && !caller.classes.contains(&class.name)
     {
@@ -87,7 +87,7 @@
     let once = once_call(parts, matched.service, class, estate, parent.as_deref())?;
     let caller = match &parent {
         Some(parent) => parent.caller.clone(),
-        None => declared.map(|caller| caller.name.clone()),
+        None => declared_caller.map(|caller| caller.name.clone()),
     };
     let idempotent = match matched.route {
         Some(route) => route.idempotent,
@@ -159,11 +159,11 @@
     let Some(workspaces) = &estate.workspaces else {
         return Ok(None);
     };
-    let needs_none = match matched.route {
+    let is_exempt = match matched.route {
         Some(route) => route.public,
         None => parent.is_some(),
     };
-    if needs_none {
+    if is_exempt {
         return Ok(None);
     }
     let Some(key) = &facts.key else {
@@ -192,11 +192,11 @@
     (rank, class): (ClassRank, &Class),
     parent: Option<&ParentCall>,
 ) -> Result<CallHead, Rejection> {
-    let longest = matched.route.map_or(class.deadline, |route| route.timeout);
+    let max_timeout = matched.route.map_or(class.deadline, |route| route.timeout);
     let timeout = match (facts.timeout, matched.route) {
-        (Some(timeout), Some(_)) => timeout.min(longest.get()),
+        (Some(timeout), Some(_)) => timeout.min(max_timeout.get()),
         (Some(timeout), None) => timeout,
-        (None, _) => longest.get(),
+        (None, _) => max_timeout.get(),
     };
     let deadline = arrived_at + timeout;
     let root = match parent {
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -3,13 +3,13 @@
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
 
-use super::header::{REASON, TICKET, VERDICT};
+use super::header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
 use crate::call::{Protocol, Refusal, Reply, end_to_end};
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
 /// Marks an answer that was stored by an earlier run of the same key.
-const STORED_ANSWER: HeaderName = HeaderName::from_static("bramleymount-kept");
+const STORED_ANSWER_HEADER: HeaderName = HeaderName::from_static("bramleymount-kept");
 
 /// Builds the answers to one request.
 pub(super) struct AnswerBuilder<'r> {
@@ -39,7 +39,7 @@
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
         if head.kept {
-            insert_header(&mut answer, STORED_ANSWER, "true");
+            insert_header(&mut answer, STORED_ANSWER_HEADER, "true");
         }
         self.protocol.sign(answer.headers_mut(), call, self.request);
         answer
@@ -62,8 +62,8 @@
         text.push('\n');
         let status = self.protocol.status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
-        insert_header(&mut answer, VERDICT, verdict.as_str());
-        insert_header(&mut answer, REASON, reason.as_str());
+        insert_header(&mut answer, VERDICT_HEADER, verdict.as_str());
+        insert_header(&mut answer, REASON_HEADER, reason.as_str());
         if let Some(call) = call {
             self.protocol.sign(answer.headers_mut(), call, self.request);
         }
@@ -73,7 +73,7 @@
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
         {
-            insert_header(&mut answer, TICKET, &ticket.to_string());
+            insert_header(&mut answer, TICKET_HEADER, &ticket.to_string());
         }
         answer
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -41,7 +41,7 @@
     pub(super) earlier_verdict: Verdict,
     pub(super) tried_targets: Vec<Instance>,
     /// Addresses of the guards that the call was sent to, in order.
-    pub(super) asked_guards: Vec<SocketAddr>,
+    pub(super) guard_addresses: Vec<SocketAddr>,
     /// Backend servers that refused the call without running it.
     pub(super) rejecting_servers: Vec<Instance>,
     /// How often the call was sent to a backend server.
@@ -67,7 +67,7 @@
             retries: 0,
             earlier_verdict: Verdict::NotRun,
             tried_targets: Vec::new(),
-            asked_guards: Vec::new(),
+            guard_addresses: Vec::new(),
             rejecting_servers: Vec::new(),
             sent_count: 0,
             guard_refusals: 0,
@@ -114,7 +114,7 @@
         CallOutcome {
             result,
             retries: self.retries,
-            targets: self.asked_guards.into(),
+            targets: self.guard_addresses.into(),
         }
     }
 
@@ -124,7 +124,7 @@
         let unreachable = matches!(result, Err(refusal) if refusal.reason() == Reason::Unreachable);
         self.accepted.front_options.fail_fast
             && unreachable
-            && self.table(|table| is_unreachable(now, table, &self.asked_guards))
+            && self.table(|table| is_unreachable(now, table, &self.guard_addresses))
     }
 
     async fn run_attempts(&mut self, body: Bytes) -> Result<Reply, Refusal> {
@@ -138,7 +138,7 @@
                 (Err(_), Some(failed)) => return Err(failed),
                 (Err(refusal), None) => return Err(refusal),
             };
-            self.asked_guards.push(target.address);
+            self.guard_addresses.push(target.address);
             let failed = match self
                 .send_attempt(attempt, target, Payload::Whole(body.clone()))
                 .await
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -21,7 +21,7 @@
 /// Detected retries by route, and admitted shares by service and class.
 #[derive(Default)]
 pub(super) struct FrontState {
-    retries: Mutex<HashMap<RouteName, RetryDetector>>,
+    retry_detectors: Mutex<HashMap<RouteName, RetryDetector>>,
     admitted_shares: Mutex<HashMap<(ServiceName, ClassRank), AdmittedShare>>,
 }
 
@@ -30,11 +30,12 @@
     /// retry.
     fn observe(&self, caller_time: &CallerTime) -> Option<Duration> {
         let now = caller_time.arrived_at;
-        let mut retries = self.retries.lock();
-        if !retries.contains_key(&caller_time.route) && retries.len() >= MAX_ENTRIES {
-            retries.clear();
+        let mut retry_detectors = self.retry_detectors.lock();
+        if !retry_detectors.contains_key(&caller_time.route) && retry_detectors.len() >= MAX_ENTRIES
+        {
+            retry_detectors.clear();
         }
-        let detector = retries
+        let detector = retry_detectors
             .entry(caller_time.route.clone())
             .or_insert_with(|| RetryDetector::new(now));
         detector.observe(now, caller_time.timeout)
@@ -54,16 +55,16 @@
         if !admitted_shares.contains_key(&key) && admitted_shares.len() >= MAX_ENTRIES {
             admitted_shares.clear();
         }
-        let admitted = admitted_shares.entry(key).or_default();
-        admitted.record(now, rank, level);
-        *admitted
+        let admitted_share = admitted_shares.entry(key).or_default();
+        admitted_share.record(now, rank, level);
+        *admitted_share
     }
 }
 
 impl Context {
     /// Records the timeout of a caller, and boosts the priority of a retry within
     /// its class.
-    pub(super) fn boost_returning(&self, accepted: &mut AcceptedRequest) {
+    pub(super) fn boost_retry(&self, accepted: &mut AcceptedRequest) {
         if !accepted.front_options.uses_time() || accepted.parent.is_some() {
             return;
         }
@@ -97,12 +98,12 @@
         let (service, rank) = (&accepted.head.service, accepted.head.priority.rank());
         let table = self.shared.targets.table(service);
         let level = table.lock().demand(now).of(rank);
-        let admitted = self.front.record_level(now, service, rank, level);
+        let admitted_share = self.front.record_level(now, service, rank, level);
         let caller = RefusedCaller {
             time_left: caller_time.time_left(now),
             slack: caller_time.slack,
         };
-        let Some(time) = backoff(caller, &admitted, &mut rand::rng()) else {
+        let Some(time) = backoff(caller, &admitted_share, &mut rand::rng()) else {
             return;
         };
         refusal.retry_after = Some(time);
@@ -114,8 +115,8 @@
                 class = accepted.head.class.as_str(),
                 retry_after_ms = time.as_millis() as u64,
                 left_ms = caller.time_left.as_millis() as u64,
-                open = admitted.current(),
-                trend = admitted.trend().as_str()
+                open = admitted_share.current(),
+                trend = admitted_share.trend().as_str()
             });
         }
     }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -128,15 +128,15 @@
     ) -> Result<AcceptedRequest, Refusal> {
         let attempt = Attempt::plan();
         let shared = &self.context.shared;
-        let Some(in_force) = shared.current.get() else {
+        let Some(configuration) = shared.current.get() else {
             return Err(attempt.refuse(Reason::NoConfig, "no configuration has been applied yet"));
         };
-        let mut accepted = accept(parts, arrived_at, from, &in_force.estate, shared)
+        let mut accepted = accept(parts, arrived_at, from, &configuration.estate, shared)
             .map_err(|rejected| Attempt::plan().refuse(rejected.reason, rejected.detail))?;
         if self.is_closed() && accepted.parent.is_none() {
             return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon is shutting down"));
         }
-        self.context.boost_returning(&mut accepted);
+        self.context.boost_retry(&mut accepted);
         Ok(accepted)
     }
 
--- a/src/entry/header.rs
+++ b/src/entry/header.rs
@@ -3,8 +3,8 @@
 use http::HeaderName;
 
 /// Says whether a call without an answer may have run.
-pub const VERDICT: HeaderName = HeaderName::from_static("bramleymount-verdict");
+pub const VERDICT_HEADER: HeaderName = HeaderName::from_static("bramleymount-verdict");
 /// Says why a call has no answer.
-pub const REASON: HeaderName = HeaderName::from_static("bramleymount-reason");
+pub const REASON_HEADER: HeaderName = HeaderName::from_static("bramleymount-reason");
 /// Offers an idempotency key that can be used now.
-pub const TICKET: HeaderName = HeaderName::from_static("bramleymount-ticket");
+pub const TICKET_HEADER: HeaderName = HeaderName::from_static("bramleymount-ticket");
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -22,5 +22,5 @@
 
 pub use crate::call::{ATTEMPT, TIMEOUT};
 pub use handler::Entry;
-pub use header::{REASON, TICKET, VERDICT};
+pub use header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
 pub use serve::serve_callers;
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -38,13 +38,18 @@
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
-        let home = shared.ownership.get(service);
-        destination(key, home.as_ref().map(|home| &*home.row), &view, service)
+        let ownership = shared.ownership.get(service);
+        destination(
+            key,
+            ownership.as_ref().map(|ownership| &*ownership.row),
+            &view,
+            service,
+        )
     }
 
     /// Returns whether an attempt may be sent to the owner of the key, and counts
     /// it as sent. An owner that failed too often recently gets no attempts.
-    pub(super) fn may_reach(&self, instance: Instance) -> bool {
+    pub(super) fn try_record_sent(&self, instance: Instance) -> bool {
         let now = Instant::now();
         self.table(|table| {
             let admits = table.admits(now, instance);
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -34,8 +34,8 @@
     /// answered. The caller sends it again if it is dropped without an answer, so
     /// it must be safe to repeat.
     fn may_start(&self, parts: &Parts) -> bool {
-        let in_force = self.0.context.shared.current.get();
-        let may_repeat = in_force.is_some_and(|rules| may_repeat(parts, &rules.estate));
+        let configuration = self.0.context.shared.current.get();
+        let may_repeat = configuration.is_some_and(|current| may_repeat(parts, &current.estate));
         may_repeat && !self.0.is_closed()
     }
 
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -29,7 +29,7 @@
             // No other instance may start the call.
             self.may_wait = true;
             return match self.destination(&once.key) {
-                Destination::Instance(instance) if self.may_reach(instance) => {
+                Destination::Instance(instance) if self.try_record_sent(instance) => {
                     Ok((attempt, instance))
                 }
                 Destination::Instance(_) => Err(attempt.refuse_once(OnceRefusal::OwnerUnreachable)),
