--- a/src/peer/call.rs
+++ b/src/peer/call.rs
@@ -1,4 +1,4 @@
-//! What both ways of calling another daemon share.
+//! Items shared by streamed and plain calls to other daemons.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use crate::policy::crash::Suspect;
 use crate::web::Payload;
 
-/// How much longer than the deadline an answer is waited for, so that the
-/// guard's own word on it can arrive.
+/// Time to wait for an answer after the deadline, so that the guard's own
+/// refusal can arrive.
 pub(super) const ANSWER_SLACK: Duration = Duration::from_millis(20);
-/// How long connecting may take.
+/// Timeout for connecting.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest message, in bytes.
+/// Maximum size of a message.
 pub(super) const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// The path of plain calls.
 pub(super) const CALL_PATH: &str = "/call";
 
-/// A call on its way to another daemon.
+/// A call to another daemon.
 #[derive(Debug)]
 pub struct OutgoingCall<'c> {
-    /// What travels with the call, but for its account.
+    /// The head of the call, without its granted retries.
     pub head: &'c CallHead,
-    /// Retries lent to this attempt.
+    /// Retries granted to this attempt.
     pub granted_retries: Retries,
     /// The body.
     pub body: Payload,
-    /// Whether the guard asks before it starts the call.
+    /// Whether the guard requests confirmation before it starts the call.
     pub needs_confirm: bool,
-    /// What is known of crashes that the request was under way at.
+    /// Record of crashes during which the request was in flight.
     pub suspect: Option<Suspect>,
-    /// What this side was told of the backend server that it goes to.
+    /// The last known notice of the target backend server.
     pub notice: Option<Told>,
-    /// Whether it waits for the rate that the backend server named.
+    /// Whether the call may wait for the rate requested by the backend server.
     pub may_wait: bool,
 }
--- a/src/peer/checksum.rs
+++ b/src/peer/checksum.rs
@@ -4,7 +4,7 @@
 
 use super::generated::Tail;
 
-/// Length and digest of a body that passes by in chunks.
+/// Length and digest of a body, computed chunk by chunk.
 #[derive(Default)]
 pub(super) struct BodyChecksum {
     length: u64,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Sending of calls to the guards of other daemons.
+//! Sends calls to the guards of other daemons.
 
 use std::time::Duration;
 
@@ -22,21 +22,20 @@
 use crate::policy::admission::Shed;
 use crate::web::{Chunks, Cut, Payload};
 
-/// How long the other daemon may take to say that a call has arrived. It does
-/// so at once; a daemon whose share of its core is used up pauses for a tenth
-/// of a second.
+/// Timeout for the acknowledgement that a call has arrived. The other daemon
+/// sends it at once, but is paused for 0.1 s when its CPU quota is used up.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Frames that wait to be sent.
+/// Maximum number of frames queued for sending.
 const MAX_QUEUED_FRAMES: usize = 8;
 
 /// Sends a call to the guard of `instance` and waits for the answer.
 ///
-/// A held call is started only after the guard has said that it can, and
-/// this side has said that it shall; until then it counts as not sent.
+/// A call that needs confirmation starts only after the guard has requested it
+/// and this side has confirmed; until then it counts as not sent.
 ///
 /// # Errors
 ///
-/// Returns what to tell the caller in place of an answer.
+/// Returns the refusal to send to the caller.
 pub async fn send(
     pool: &Pool,
     instance: Instance,
@@ -49,12 +48,12 @@
             let head = encode_call(instance, attempt.id(), &message, Instant::now());
             plain_call::send(pool, instance, attempt, message.head, head, body).await
         }
-        // On the heap, since it needs more room than plain calls.
+        // Boxed, since its future is larger than that of a plain call.
         _ => Box::pin(send_stream(pool, instance, attempt, message)).await,
     }
 }
 
-/// Sends a call as a stream, which can carry words before the answer.
+/// Sends a call as a stream, which can carry frames before the answer.
 async fn send_stream(
     pool: &Pool,
     instance: Instance,
@@ -62,7 +61,7 @@
     message: OutgoingCall<'_>,
 ) -> Result<Reply, Refusal> {
     let Some(mut client) = pool.client(instance.address) else {
-        return Err(attempt.refuse(Reason::Unreachable, "no valid address"));
+        return Err(attempt.refuse(Reason::Unreachable, "the address is invalid"));
     };
     let deadline = message.head.deadline;
     let needs_confirm = message.needs_confirm;
@@ -87,7 +86,7 @@
     receive_answer(pool, instance, attempt.send(), answer, deadline).await
 }
 
-/// Gives up a call of which the guard has not even said that it arrived.
+/// Refuses a call whose arrival the guard has not acknowledged.
 fn refuse_unacknowledged(attempt: Attempt<Planned>, needs_confirm: bool) -> Refusal {
     if needs_confirm {
         return attempt.refuse(Reason::Unreachable, "the guard did not answer in time");
@@ -97,7 +96,7 @@
         .lose(Reason::Cut, "the guard did not answer in time")
 }
 
-/// Waits until the guard can start a held call, and lets it start.
+/// Waits until the guard requests confirmation, and confirms the start.
 async fn start(
     pool: &Pool,
     instance: Instance,
@@ -110,15 +109,28 @@
     let first = match first {
         Ok(Ok(frame)) => frame.and_then(|frame| frame.frame),
         Ok(Err(status)) => return Err(refuse_not_started(pool, instance, attempt, &status)),
-        Err(_) => return Err(attempt.refuse(Reason::Shed(Shed::Deadline), "no slot in time")),
+        Err(_) => {
+            return Err(attempt.refuse(
+                Reason::Shed(Shed::Deadline),
+                "no slot was free before the deadline",
+            ));
+        }
     };
     match first {
         Some(AnswerPart::Start(_)) => {}
         Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt.send(), &refusal)),
-        _ => return Err(attempt.refuse(Reason::Unreachable, "the guard did not ask to start")),
+        _ => {
+            return Err(attempt.refuse(
+                Reason::Unreachable,
+                "the guard did not request confirmation",
+            ));
+        }
     }
     if Instant::now() >= deadline {
-        return Err(attempt.refuse(Reason::Shed(Shed::Deadline), "no slot in time"));
+        return Err(attempt.refuse(
+            Reason::Shed(Shed::Deadline),
+            "no slot was free before the deadline",
+        ));
     }
     let attempt = attempt.send();
     rest.start();
@@ -139,11 +151,11 @@
     }
 }
 
-/// Asks `instance` over a new connection what became of a once call.
+/// Queries the outcome of a once call from `instance` over a new connection.
 ///
 /// # Errors
 ///
-/// Returns what to tell the caller in place of an answer.
+/// Returns the refusal to send to the caller.
 pub async fn inquire(
     pool: &Pool,
     instance: Instance,
@@ -153,7 +165,7 @@
 ) -> Result<Reply, Refusal> {
     let attempt = Attempt::plan().send();
     let Some(mut client) = pool.new_client(instance.address) else {
-        return Err(attempt.lose(Reason::Unreachable, "no valid address"));
+        return Err(attempt.lose(Reason::Unreachable, "the address is invalid"));
     };
     let left = deadline.saturating_duration_since(Instant::now());
     let request = InquireRequest {
@@ -176,21 +188,21 @@
 
 type Frames = ReceiverStream<CallFrame>;
 
-/// What follows the first frame of a call.
+/// The frames after the first one of a call.
 struct RemainingFrames {
     chunks: Option<Chunks>,
     sender: mpsc::Sender<CallFrame>,
 }
 
 impl RemainingFrames {
-    /// Lets a held call start, and sends its body if that is streamed.
+    /// Confirms the start of a call, and sends its body if it is streamed.
     fn start(self) {
-        // The channel is empty but for the first frame, so there is room.
+        // Only the first frame is in the channel, so there is room.
         let _ = self.sender.try_send(frame(CallPart::Start(Start {})));
         self.send_body();
     }
 
-    /// Sends the body, if it is streamed.
+    /// Sends the body if it is streamed.
     fn send_body(self) {
         if let Some(chunks) = self.chunks {
             tokio::spawn(send_chunks(chunks, self.sender));
@@ -222,8 +234,8 @@
     CallFrame { frame: Some(part) }
 }
 
-/// Sends a streamed body on. If it is cut no tail is sent, which tells the
-/// guard.
+/// Forwards a streamed body. If it is incomplete, no tail is sent, which the
+/// guard detects.
 async fn send_chunks(mut chunks: Chunks, to: mpsc::Sender<CallFrame>) {
     let mut checksum = BodyChecksum::default();
     while let Some(chunk) = chunks.next().await {
@@ -244,14 +256,14 @@
     let first = frames.message().await?.and_then(|frame| frame.frame);
     let streamed = matches!(&first, Some(AnswerPart::Head(head)) if head.streamed);
     if !streamed {
-        // Read to the end: a stream that is dropped before is reset, and many
-        // resets make the other side close the connection.
+        // Read to the end: dropping a stream before resets it, and the other
+        // side closes a connection with many resets.
         let _ = frames.message().await;
     }
     Ok((first, frames))
 }
 
-/// Gives up a held call that was not told to start.
+/// Refuses a call whose start was not confirmed.
 fn refuse_not_started(
     pool: &Pool,
     instance: Instance,
@@ -277,7 +289,7 @@
     attempt.lose(Reason::Cut, status.message())
 }
 
-/// Tells whether no connection was made, so that no byte can have left.
+/// Returns whether connecting failed, so that nothing was sent.
 fn is_connect_error(status: &tonic::Status) -> bool {
     let mut source = std::error::Error::source(status);
     while let Some(cause) = source {
@@ -318,7 +330,7 @@
     Ok(Reply { head, body })
 }
 
-/// Takes a streamed answer in; it counts as whole only if its tail fits.
+/// Receives a streamed answer, which is complete only if its tail matches.
 async fn receive_chunks(mut frames: Streaming<AnswerFrame>, to: mpsc::Sender<Result<Bytes, Cut>>) {
     let mut checksum = BodyChecksum::default();
     loop {
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Between the messages of the peer protocol and the types of a call.
+//! Conversions between messages of the peer protocol and the types of a call.
 
 use std::time::Duration;
 
@@ -21,14 +21,13 @@
 };
 use crate::web::Payload;
 
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 128;
 
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Writes headers.
 pub(super) fn encode_headers(headers: &HeaderMap) -> Vec<wire::Header> {
     headers
         .iter()
@@ -39,7 +38,11 @@
         .collect()
 }
 
-/// Reads headers.
+/// Decodes headers.
+///
+/// # Errors
+///
+/// Fails if there are too many headers, or one is invalid.
 pub(super) fn decode_headers(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
     if headers.len() > MAX_HEADERS {
         return Err(Error::value("message", "it has too many headers"));
@@ -54,7 +57,7 @@
     Ok(map)
 }
 
-/// Writes the head of a call to `instance`, without its headers and its body.
+/// Encodes the head of a call to `instance`, without its headers and body.
 pub(super) fn encode_call(
     instance: Instance,
     attempt: AttemptId,
@@ -99,8 +102,12 @@
     }
 }
 
-/// Reads the head of a call; a class that is not declared here has the rank
-/// that the sender gave it.
+/// Decodes the head of a call. A class that is not declared here keeps the rank
+/// given by the sender.
+///
+/// # Errors
+///
+/// Fails if a field has an invalid value.
 pub(super) fn decode_call(
     head: wire::CallHead,
     estate: Option<&Estate>,
@@ -157,7 +164,7 @@
     })
 }
 
-/// Writes the head of an answer, without its headers.
+/// Encodes the head of an answer, without its headers.
 pub(super) fn encode_reply(
     attempt: AttemptId,
     head: &ReplyHead,
@@ -185,10 +192,14 @@
     }
 }
 
-/// Reads the head of an answer.
+/// Decodes the head of an answer, and returns it with the body.
+///
+/// # Errors
+///
+/// Fails if the digest does not match, or a field has an invalid value.
 pub(super) fn decode_reply(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
     if !head.streamed && xxh3_64(&head.body) != head.digest {
-        return Err(Error::value("answer", "its digest does not fit"));
+        return Err(Error::value("answer", "its digest does not match"));
     }
     let status = u16::try_from(head.status)
         .ok()
@@ -216,7 +227,6 @@
     Ok((reply, head.body))
 }
 
-/// Writes a refusal.
 pub(super) fn encode_refusal(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
     let news = refusal.news.unwrap_or_default();
     wire::Refusal {
@@ -239,18 +249,18 @@
     }
 }
 
-/// Repeats a refusal that the other side sent.
+/// Decodes a refusal sent by the other daemon, and relays it.
 pub(super) fn decode_refusal(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
-    let parts = decode_attempt_id(&message.attempt).and_then(|of| {
+    let parts = decode_attempt_id(&message.attempt).and_then(|attempt_id| {
         let verdict: Verdict = message.verdict.parse()?;
         let reason: Reason = message.reason.parse()?;
-        Ok((of, verdict, reason))
+        Ok((attempt_id, verdict, reason))
     });
-    let (of, verdict, reason) = match parts {
+    let (attempt_id, verdict, reason) = match parts {
         Ok(parts) => parts,
         Err(e) => return attempt.lose(Reason::Garbage, e.to_string()),
     };
-    let mut refusal = attempt.relay(of, verdict, reason, &message.detail);
+    let mut refusal = attempt.relay(attempt_id, verdict, reason, &message.detail);
     if refusal.reason() == reason {
         if message.of_key {
             refusal = refusal.of_key();
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -1,4 +1,4 @@
-//! Borrowing of credit for the requests of workspaces.
+//! Credit queries for the requests of workspaces.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use crate::policy::rate::{CreditGrant, CreditQuery};
 use crate::tables::Shared;
 
-/// The path of questions for credit.
+/// The path of credit queries.
 pub(super) const CREDIT_PATH: &str = "/credit";
-/// How long the coordinator may take to answer. A request of a workspace that
-/// has no credit here waits for it; between regions the way alone takes 70 ms.
+/// Timeout of a credit query. A request waits for it if its workspace has no
+/// local credit. Between regions the network latency alone is 70 ms.
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a daemon says to a question for credit.
+/// The answer of a daemon to a credit query.
 enum CreditAnswer {
     Granted(CreditGrant),
     /// Another daemon coordinates the workspace.
     Elsewhere(Instance),
 }
 
-/// Asks the coordinator of a workspace for credit; `None` if it does not
-/// answer in time or does not know the workspace.
+/// Queries the coordinator of a workspace for credit. Returns `None` if it does
+/// not answer in time or does not know the workspace.
 pub async fn request_credit(
     shared: &Shared,
     pool: &Pool,
@@ -84,7 +84,7 @@
         Ok(reply) => reply,
         Err(e) => {
             let cause = e.to_string();
-            spdlog::debug!("no credit", kv: { workspace = workspace.as_str(), cause = cause.as_str() });
+            spdlog::debug!("credit query failed", kv: { workspace = workspace.as_str(), cause = cause.as_str() });
             return None;
         }
     };
@@ -100,8 +100,8 @@
     })
 }
 
-/// Answers a question for credit. A daemon that is not the coordinator by what
-/// it knows says who is, unless another daemon has sent the question here.
+/// Answers a credit query. If another daemon is the coordinator in the ring of
+/// this one, the answer names it, unless the query was already redirected.
 pub(super) fn answer(shared: &Shared, request: &wire::CreditRequest) -> wire::CreditReply {
     let unknown = wire::CreditReply::default();
     let Ok(workspace) = request.workspace.parse::<WorkspaceName>() else {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Reads an amount; what is no number or below zero counts as nothing.
+/// Returns an amount, or 0 if it is not finite or is negative.
 fn valid_amount(number: f64) -> f64 {
     if number.is_finite() {
         number.max(0.0)
--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of membership, configuration and home rows with neighbours.
+//! Exchange of membership, configuration and ownership rows with neighbours.
 
 use std::net::SocketAddr;
 
@@ -18,28 +18,29 @@
 use crate::store::Revision;
 use crate::tables::Shared;
 
-/// Members told in one message, at most; the others follow with the next.
+/// Maximum number of members in one message; the others follow in the next.
 const MAX_PAGE_MEMBERS: usize = 256;
-/// Members told to a daemon that is not known. In a start of all each asks the
-/// few that the settings name, and what those send grows with their number.
+/// Maximum number of members sent to an unknown daemon. When all daemons start
+/// at once, each queries the few named in the settings, and the data that these
+/// send grows with the number of daemons.
 const FIRST_PAGE_MEMBERS: usize = 64;
 
-/// What an exchange brought.
+/// The outcome of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeOutcome {
-    /// How far the two sides have told each other.
+    /// The changes that the two sides have sent each other so far.
     pub position: SyncPosition,
-    /// Whether both views are the same.
+    /// Whether the views of both sides are the same.
     pub same_view: bool,
     /// The instance that answered.
     pub instance: Instance,
 }
 
-/// Exchanges news with the daemon at `address`.
+/// Exchanges updates with the daemon at `address`.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer in time.
+/// Fails if the daemon does not answer in time, or with an invalid message.
 pub async fn exchange(
     shared: &Shared,
     pool: &Pool,
@@ -55,7 +56,7 @@
     shared.role_tracker.lock().record_answer(Instant::now());
     let members = read_members(&answer.members);
     if members.len() < FIRST_PAGE_MEMBERS {
-        // The neighbour has told all that it knows.
+        // The neighbour has sent all members that it knows.
         shared.readiness.set_members_known();
     }
     let known = merge_members(shared, |view, now| {
@@ -71,7 +72,7 @@
         sent: Some(known),
         received: ChangeCount(answer.change),
         homes_received: ChangeCount(answer.homes_change),
-        // Another run of the daemon knows nothing of what was told before.
+        // A restarted daemon does not have the updates sent before.
         suspects_sent: match position.instance {
             Some(of) if of != instance => ChangeCount::default(),
             _ => sent.suspects,
@@ -86,10 +87,10 @@
     })
 }
 
-/// Asks a member which configuration it runs, over a connection that is not
-/// kept; `None` if it does not answer in time.
+/// Queries the configuration version of a member over a temporary connection.
+/// Returns `None` if it does not answer in time.
 pub async fn query_version(shared: &Shared, pool: &Pool, instance: Instance) -> Option<Version> {
-    // Nothing but the version is wanted, so all else counts as seen.
+    // Only the version is needed, so everything else is marked as seen.
     let request = wire::ExchangeRequest {
         from: shared.instance.to_string(),
         version: shared.current.version().get(),
@@ -106,7 +107,7 @@
     (answer.from == instance.to_string()).then(|| Version::new(answer.version))
 }
 
-/// Up to which changes a request tells.
+/// The last changes that a request contains.
 struct SentChanges {
     members: ChangeCount,
     suspects: ChangeCount,
@@ -137,7 +138,7 @@
     (request, sent)
 }
 
-/// Reads members; those that cannot be read are passed over.
+/// Decodes members, and skips invalid ones.
 fn read_members(members: &[wire::Member]) -> Vec<Member> {
     members
         .iter()
@@ -145,18 +146,18 @@
         .collect()
 }
 
-/// Takes news of members, and passes on what is new.
-fn merge_members<T>(shared: &Shared, take: impl FnOnce(&mut View, Instant) -> T) -> T {
-    let (taken, changed) = {
+/// Updates the view, and propagates the change if there is one.
+fn merge_members<T>(shared: &Shared, update: impl FnOnce(&mut View, Instant) -> T) -> T {
+    let (result, changed) = {
         let mut view = shared.view.lock();
         let before = view.change();
-        let taken = take(&mut view, Instant::now());
-        (taken, view.change() != before)
+        let result = update(&mut view, Instant::now());
+        (result, view.change() != before)
     };
     if changed {
         shared.members_changed();
     }
-    taken
+    result
 }
 
 fn merge_ownership(shared: &Shared, homes: &[wire::HomeRow]) {
@@ -170,7 +171,8 @@
     }
 }
 
-/// Answers an exchange, and has the sender asked for what is known only there.
+/// Answers an exchange, and schedules a query to the sender if it may have
+/// newer data.
 pub(super) fn answer(shared: &Shared, request: &wire::ExchangeRequest) -> wire::ExchangeReply {
     let (reply, has_updates) = reply(shared, request);
     if has_updates && let Ok(from) = request.from.parse::<Instance>() {
@@ -179,8 +181,8 @@
     reply
 }
 
-/// Answers an exchange; returns also whether the sender knows something that
-/// is worth asking it for.
+/// Answers an exchange, and returns whether the sender should be queried for
+/// newer data.
 fn reply(shared: &Shared, request: &wire::ExchangeRequest) -> (wire::ExchangeReply, bool) {
     let members = read_members(&request.members);
     merge_members(shared, |view, now| {
--- a/src/peer/http_head.rs
+++ b/src/peer/http_head.rs
@@ -1,48 +1,46 @@
-//! Heads of plain requests between daemons and of their answers.
+//! Heads of plain requests and responses between daemons.
 
 use std::io;
 
 use http::StatusCode;
 
-/// Most headers of a head.
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 32;
 
-/// How long a body is.
+/// The length of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyLength {
-    /// So many bytes.
+    /// A known number of bytes.
     Known(usize),
-    /// It comes in chunks up to an empty one.
+    /// Chunks, up to an empty one.
     Chunked,
 }
 
-/// What a head says of what follows.
+/// The framing of a message, as given by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Framing {
     length: BodyLength,
-    /// Whether the connection is used again.
+    /// Whether the connection stays open.
     keep_alive: bool,
 }
 
 /// The head of a request.
 #[derive(Debug)]
 pub(super) struct RequestHead {
-    /// Its path.
     pub(super) path: Box<str>,
-    /// The length of its body.
+    /// The length of the body.
     pub(super) length: BodyLength,
-    /// Whether another request may follow.
+    /// Whether another request may follow on the connection.
     pub(super) keep_alive: bool,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResponseHead {
-    /// Its status.
     pub(super) status: StatusCode,
-    /// The length of its body.
+    /// The length of the body.
     pub(super) length: BodyLength,
-    /// Whether another request may follow.
+    /// Whether another request may follow on the connection.
     pub(super) keep_alive: bool,
 }
 
@@ -59,11 +57,12 @@
         let value = header.value.trim_ascii();
         if header.name.eq_ignore_ascii_case("content-length") {
             let length = std::str::from_utf8(value).ok().and_then(|n| n.parse().ok());
-            framing.length =
-                BodyLength::Known(length.ok_or_else(|| invalid_data("a length is no number"))?);
+            framing.length = BodyLength::Known(
+                length.ok_or_else(|| invalid_data("the content length is not a number"))?,
+            );
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(invalid_data("an encoding is not known"));
+                return Err(invalid_data("the transfer encoding is not supported"));
             }
             framing.length = BodyLength::Chunked;
         } else if header.name.eq_ignore_ascii_case("connection") {
@@ -73,13 +72,14 @@
     Ok(framing)
 }
 
-/// Reads the head of a request, if it is there whole, and its length.
+/// Parses the head of a request, and returns it with its length. Returns `None`
+/// if it is incomplete.
 pub(super) fn parse_request(bytes: &[u8]) -> io::Result<Option<(usize, RequestHead)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let parsed = head.parse(bytes);
     let httparse::Status::Complete(length) =
-        parsed.map_err(|_| invalid_data("no head of a request"))?
+        parsed.map_err(|_| invalid_data("invalid request head"))?
     else {
         return Ok(None);
     };
@@ -92,32 +92,33 @@
     Ok(Some((length, request)))
 }
 
-/// Reads the head of an answer, if it is there whole, and its length.
+/// Parses the head of a response, and returns it with its length. Returns `None`
+/// if it is incomplete.
 pub(super) fn parse_response(bytes: &[u8]) -> io::Result<Option<(usize, ResponseHead)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let parsed = head.parse(bytes);
     let httparse::Status::Complete(length) =
-        parsed.map_err(|_| invalid_data("no head of an answer"))?
+        parsed.map_err(|_| invalid_data("invalid response head"))?
     else {
         return Ok(None);
     };
     let framing = framing(head.version, head.headers)?;
     let status = StatusCode::from_u16(head.code.unwrap_or_default());
     let response = ResponseHead {
-        status: status.map_err(|_| invalid_data("no status"))?,
+        status: status.map_err(|_| invalid_data("invalid status code"))?,
         length: framing.length,
         keep_alive: framing.keep_alive,
     };
     Ok(Some((length, response)))
 }
 
-/// Writes the head of a request with a body of so many bytes.
+/// Formats the head of a request with a body of `length` bytes.
 pub(super) fn request_head(path: &str, host: &str, length: usize) -> Vec<u8> {
     format!("POST {path} HTTP/1.1\r\nhost: {host}\r\ncontent-length: {length}\r\n\r\n").into()
 }
 
-/// Writes the head of an answer.
+/// Formats the head of a response.
 pub(super) fn response_head(status: StatusCode, length: BodyLength) -> Vec<u8> {
     let framing = match length {
         BodyLength::Known(length) => format!("content-length: {length}"),
--- a/src/peer/http_stream.rs
+++ b/src/peer/http_stream.rs
@@ -1,9 +1,8 @@
-//! The little of HTTP/1.1 that plain requests between daemons need.
+//! The subset of HTTP/1.1 that plain requests between daemons use.
 //!
-//! Both ends are daemons, which send a method, a path and a body whose length
-//! is known or that comes in chunks. A library for all of HTTP keeps two
-//! buffers of 8 KB and a task a connection for that, and takes a fifth of the
-//! processor time of a call.
+//! Both ends are daemons, which send a method, a path and a body of known length
+//! or in chunks. A complete HTTP library needs two buffers of 8 KB and a task
+//! per connection, and a fifth of the CPU time of a call.
 
 use std::future::poll_fn;
 use std::io;
@@ -17,18 +16,18 @@
     BodyLength, RequestHead, ResponseHead, invalid_data, parse_request, parse_response,
 };
 
-/// Largest head, in bytes.
+/// Maximum size of a head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Bytes that are read at first; most messages have fewer.
+/// Buffer space reserved for a read of a head or a chunk size; most messages
+/// are shorter.
 const READ_BYTES: usize = 4 * 1024;
-/// Longest line before a chunk, in bytes.
+/// Maximum length of the line with the size of a chunk.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
-/// Ends a line.
 const LINE_END: &[u8] = b"\r\n";
-/// Ends a body in chunks.
+/// The last chunk of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// One end of a connection, with what was read beyond the last message.
+/// A connection, with the bytes read beyond the last message.
 #[derive(Debug)]
 pub(super) struct HttpStream {
     stream: TcpStream,
@@ -36,18 +35,18 @@
 }
 
 impl HttpStream {
-    /// Takes a connection on which nothing was read yet.
+    /// Creates a stream on a connection from which nothing was read yet.
     pub(super) fn new(stream: TcpStream) -> Self {
         let buffer = BytesMut::new();
         Self { stream, buffer }
     }
 
-    /// Gives the connection back if nothing was read beyond the last message.
+    /// Returns the connection if nothing was read beyond the last message.
     pub(super) fn into_idle(self) -> Option<TcpStream> {
         self.buffer.is_empty().then_some(self.stream)
     }
 
-    /// Waits until there is something to read, without room for it yet.
+    /// Waits until there is data to read, without allocating a buffer.
     pub(super) async fn wait_readable(&self) -> io::Result<()> {
         if self.buffer.is_empty() {
             poll_fn(|cx| self.stream.poll_read_ready(cx)).await?;
@@ -55,8 +54,8 @@
         Ok(())
     }
 
-    /// Waits until the other end closes the connection; for ever if it sends
-    /// anything more instead.
+    /// Waits until the other end closes the connection, or forever if it sends
+    /// more data first.
     pub(super) async fn wait_closed(&self) {
         let mut next = [0];
         let next = poll_fn(|cx| self.stream.poll_peek(cx, &mut ReadBuf::new(&mut next)));
@@ -65,26 +64,27 @@
         }
     }
 
-    /// Gives up the room of what was read, if nothing is left to be read.
+    /// Frees the buffer if it is empty.
     pub(super) fn release_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    async fn read_more(&mut self, room: usize) -> io::Result<()> {
-        self.buffer.reserve(room);
+    async fn read_more(&mut self, capacity: usize) -> io::Result<()> {
+        self.buffer.reserve(capacity);
         match self.stream.read_buf(&mut self.buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// Reads the head of a request; `None` if the connection was closed before.
+    /// Reads the head of a request. Returns `None` if the connection was closed
+    /// before.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or if what comes is no such head.
+    /// Fails if the connection fails, or if the head is invalid.
     pub(super) async fn read_request(&mut self) -> io::Result<Option<RequestHead>> {
         loop {
             if let Some((length, request)) = parse_request(&self.buffer)? {
@@ -98,11 +98,11 @@
         }
     }
 
-    /// Reads the head of an answer.
+    /// Reads the head of a response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or if what comes is no such head.
+    /// Fails if the connection fails, or if the head is invalid.
     pub(super) async fn read_response(&mut self) -> io::Result<ResponseHead> {
         loop {
             if let Some((length, response)) = parse_response(&self.buffer)? {
@@ -120,11 +120,11 @@
         self.read_more(READ_BYTES).await
     }
 
-    /// Reads a body whole.
+    /// Reads a complete body.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or if the body is too long.
+    /// Fails if the connection fails, or if the body is too long.
     pub(super) async fn read_body(&mut self, length: BodyLength) -> io::Result<Bytes> {
         let length = match length {
             BodyLength::Known(length) if length <= MAX_MESSAGE_BYTES => length,
@@ -149,21 +149,21 @@
         Ok(whole.freeze())
     }
 
-    /// Reads the next chunk of a body whole; `None` at its end.
+    /// Reads the next chunk of a body. Returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends before the body does.
+    /// Fails if the connection ends before the body, or if the chunk is invalid.
     pub(super) async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         let length = loop {
             let parsed = httparse::parse_chunk_size(&self.buffer);
-            match parsed.map_err(|_| invalid_data("no chunk"))? {
+            match parsed.map_err(|_| invalid_data("invalid chunk size"))? {
                 httparse::Status::Complete((line, length)) => {
                     self.buffer.advance(line);
                     break usize::try_from(length).unwrap_or(usize::MAX);
                 }
                 httparse::Status::Partial if self.buffer.len() > MAX_CHUNK_LINE_BYTES => {
-                    return Err(invalid_data("no chunk"));
+                    return Err(invalid_data("invalid chunk size"));
                 }
                 httparse::Status::Partial => self.read_more(READ_BYTES).await?,
             }
@@ -177,7 +177,7 @@
         }
         let chunk = self.buffer.split_to(length).freeze();
         if !self.buffer.starts_with(LINE_END) {
-            return Err(invalid_data("a chunk has no end"));
+            return Err(invalid_data("a chunk does not end with CRLF"));
         }
         self.buffer.advance(LINE_END.len());
         Ok((length > 0).then_some(chunk))
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, and says whether any byte has left.
+    /// Fails if the connection fails; the error tells whether any byte was sent.
     pub(super) async fn send(&mut self, head: &[u8], body: &[u8]) -> Result<(), SendError> {
         let mut rest = Buf::chain(head, body);
         while rest.has_remaining() {
@@ -202,11 +202,11 @@
         Ok(())
     }
 
-    /// Sends a chunk; an empty one ends the body.
+    /// Sends a chunk. An empty one ends the body.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does.
+    /// Fails if the connection fails.
     pub(super) async fn send_chunk(&mut self, chunk: &[u8]) -> io::Result<()> {
         if chunk.is_empty() {
             return self.stream.write_all(LAST_CHUNK).await;
@@ -217,11 +217,10 @@
     }
 }
 
-/// Why something was not sent.
+/// An error while sending a message.
 #[derive(Debug)]
 pub(super) struct SendError {
-    /// Whether any byte has left.
+    /// Whether any byte was sent.
     pub(super) any_sent: bool,
-    /// The cause.
     pub(super) cause: io::Error,
 }
--- a/src/peer/id.rs
+++ b/src/peer/id.rs
@@ -1,16 +1,20 @@
-//! Ids in the peer protocol.
+//! Ids in messages of the peer protocol.
 
 use bytes::Bytes;
 
 use crate::error::Error;
 use crate::model::AttemptId;
 
-/// Returns the bytes of an id as they stand in a message.
+/// Encodes an id as 16 big-endian bytes.
 pub(super) fn encode_id(id: u128) -> Bytes {
     Bytes::copy_from_slice(&id.to_be_bytes())
 }
 
-/// Reads an id.
+/// Decodes an id.
+///
+/// # Errors
+///
+/// Fails if it does not have 16 bytes.
 pub(super) fn decode_id(bytes: &[u8]) -> Result<u128, Error> {
     bytes
         .try_into()
@@ -18,7 +22,11 @@
         .map_err(|_| Error::value("id", "it must have 16 bytes"))
 }
 
-/// Reads an attempt id.
+/// Decodes an attempt id.
+///
+/// # Errors
+///
+/// Fails if it does not have 16 bytes.
 pub(super) fn decode_attempt_id(bytes: &[u8]) -> Result<AttemptId, Error> {
     decode_id(bytes).map(AttemptId::new)
 }
--- a/src/peer/ledger.rs
+++ b/src/peer/ledger.rs
@@ -1,4 +1,4 @@
-//! Handing of a ledger to another daemon at a planned stop.
+//! Handover of a ledger to another daemon at a planned stop.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::policy::once::{KeyState, StoredAnswer};
 use crate::tables::Shared;
 
-/// How long the heir may take to answer one message.
+/// Timeout of one message to the heir.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Entries sent in one message.
+/// Number of entries per message.
 const BATCH_ENTRIES: usize = 256;
 
-/// Hands the ledger of this instance, which has stopped starting keys, over
-/// to `heir`; returns whether it was taken whole.
+/// Hands the ledger of this instance, which no longer starts keys, over to
+/// `heir`. Returns whether the heir accepted all of it.
 pub async fn hand_over(
     shared: &Shared,
     pool: &Pool,
@@ -88,12 +88,16 @@
         .collect()
 }
 
-/// Reads an entry of a ledger that is handed over.
+/// Decodes an entry of a ledger.
+///
+/// # Errors
+///
+/// Fails if the key or the state is invalid.
 pub(super) fn decode_entry(entry: wire::LedgerEntry) -> Result<(OnceKey, KeyState, u64), Error> {
     let key = entry.once_key.parse()?;
     let state = match entry.state.as_str() {
-        // A key that was claimed by the instance that stops cannot be started
-        // here, since the claim row names that instance.
+        // A key claimed by the stopping instance cannot be started here, since
+        // the claim row names that instance.
         CLAIMED | UNKNOWN => KeyState::Unknown,
         DONE => KeyState::Done(StoredAnswer {
             status: u16::try_from(entry.status).unwrap_or_default(),
@@ -105,7 +109,7 @@
             body: entry.whole.then_some(entry.body),
         }),
         other => {
-            let message = format!("state \"{other}\" is not known");
+            let message = format!("unknown state \"{other}\"");
             return Err(Error::value("ledger entry", message));
         }
     };
--- a/src/peer/listen.rs
+++ b/src/peer/listen.rs
@@ -1,5 +1,5 @@
-//! The listener of a daemon for the others: streams and plain calls on one
-//! port, told apart by how a connection begins.
+//! Listener for other daemons. Streams and plain calls share one port; the first
+//! bytes of a connection tell which of them it carries.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -24,17 +24,17 @@
 use super::server::PeerService;
 use crate::error::Error;
 
-/// Calls under way on one connection.
+/// Maximum number of concurrent calls on one connection.
 const MAX_STREAMS: u32 = 8192;
-/// Pause after a connection could not be accepted, for lack of descriptors.
+/// Pause after accepting a connection failed, for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a connection of streams begins with.
+/// The HTTP/2 connection preface, with which a connection of streams begins.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Pause between two looks at a connection that has begun too little.
+/// Interval between checks while the first bytes are too few to decide.
 const PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Answers streams by `tonic`.
+/// Serves streams through `tonic`.
 #[derive(Clone)]
 struct StreamService(PeerServer<PeerService>);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// What all connections of other daemons share.
+/// State shared by all connections of other daemons.
 struct ConnectionHandler {
     peers: Arc<PeerService>,
     streams: StreamService,
@@ -57,24 +57,24 @@
 }
 
 impl ConnectionHandler {
-    async fn connection(&self, stream: TcpStream, mut stop: watch::Receiver<()>) {
-        // That nobody is left to stop it is as good as being told.
+    async fn serve_connection(&self, stream: TcpStream, mut stop: watch::Receiver<()>) {
+        // A dropped sender also means that the daemon stops.
         let stop = async move { stop.changed().await.unwrap_or_default() };
         let result = match is_http2(&stream).await {
-            // On the heap, since plain connections are many and need less room.
-            Ok(true) => Box::pin(self.streams(stream, stop)).await,
+            // Boxed, since plain connections are many and need a smaller future.
+            Ok(true) => Box::pin(self.serve_streams(stream, stop)).await,
             Ok(false) => {
-                self.plain(stream, stop).await;
+                self.serve_plain(stream, stop).await;
                 Ok(())
             }
             Err(e) => Err(e.into()),
         };
         if let Err(e) = result {
-            spdlog::debug!("connection of a daemon ended", kv: { cause = e.to_string().as_str() });
+            spdlog::debug!("peer connection failed", kv: { cause = e.to_string().as_str() });
         }
     }
 
-    async fn streams(
+    async fn serve_streams(
         &self,
         stream: TcpStream,
         stop: impl Future<Output = ()>,
@@ -92,8 +92,9 @@
         connection.await
     }
 
-    /// Serves plain requests; once the daemon stops, only the one under way.
-    async fn plain(&self, stream: TcpStream, stop: impl Future<Output = ()>) {
+    /// Serves plain requests. When the daemon stops, only the one in progress is
+    /// completed.
+    async fn serve_plain(&self, stream: TcpStream, stop: impl Future<Output = ()>) {
         let busy = AtomicBool::new(false);
         let mut serving = std::pin::pin!(self.peers.serve_plain(stream, &busy));
         tokio::select! {
@@ -107,7 +108,7 @@
     }
 }
 
-/// Tells whether a connection begins as one of streams.
+/// Returns whether a connection begins with the HTTP/2 preface.
 async fn is_http2(stream: &TcpStream) -> std::io::Result<bool> {
     let mut start = [0; PREFACE.len()];
     loop {
@@ -122,7 +123,7 @@
     }
 }
 
-/// Serves other daemons on `address` until `stop` is told.
+/// Serves other daemons on `address` until `stop` resolves.
 ///
 /// # Errors
 ///
@@ -163,16 +164,16 @@
         match accepted.and_then(with_nodelay) {
             Ok(stream) => {
                 let (handler, stopped) = (Arc::clone(&handler), stopped.clone());
-                connections.spawn(async move { handler.connection(stream, stopped).await });
+                connections.spawn(async move { handler.serve_connection(stream, stopped).await });
             }
             Err(e) => {
-                spdlog::warn!("cannot accept a daemon", kv: { cause = e.to_string().as_str() });
+                spdlog::warn!("cannot accept a peer connection", kv: { cause = e.to_string().as_str() });
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
     drop(listener);
-    // Calls under way are answered; nothing follows them.
+    // Calls in progress are answered, but no further requests are read.
     handler.peers.stopping.store(true, Ordering::Relaxed);
     stopping.send_replace(());
     while connections.join_next().await.is_some() {}
@@ -188,7 +189,7 @@
 }
 
 fn with_nodelay((stream, _): (TcpStream, SocketAddr)) -> std::io::Result<TcpStream> {
-    // Messages are small and each is waited for.
+    // Messages are small, and the sender waits for each answer.
     stream.set_nodelay(true)?;
     Ok(stream)
 }
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -1,4 +1,4 @@
-//! Members and home rows in the peer protocol.
+//! Members and ownership rows in the peer protocol.
 
 use super::generated as wire;
 use crate::error::Error;
@@ -6,7 +6,7 @@
 use crate::policy::member::{Incarnation, Member};
 use crate::tables::StoredOwnership;
 
-/// Writes a home row.
+/// Encodes an ownership row.
 pub(super) fn encode_ownership(
     (service, ownership): &(ServiceName, StoredOwnership),
 ) -> wire::HomeRow {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Writes what is known of a member.
+/// Encodes the record of a member.
 pub(super) fn encode_member(member: &Member) -> wire::Member {
     wire::Member {
         instance: member.instance.to_string(),
@@ -29,11 +29,11 @@
     }
 }
 
-/// Reads what another daemon knows of a member.
+/// Decodes a record of a member.
 ///
 /// # Errors
 ///
-/// Fails if a field has no valid value.
+/// Fails if a field has an invalid value.
 pub(super) fn decode_member(member: &wire::Member) -> Result<Member, Error> {
     Ok(Member {
         instance: member.instance.parse()?,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,4 +1,5 @@
-//! The body of a plain call and of its answer: a message, then the payload.
+//! Bodies of plain requests and responses: a length-delimited message followed
+//! by the payload.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use http::HeaderMap;
@@ -8,22 +9,22 @@
 use super::generated as wire;
 use crate::error::Error;
 
-/// The key of the headers in the head of a call.
+/// Field key of the headers in the head of a call.
 const CALL_HEADERS_KEY: u8 = bytes_key(14);
-/// The key of the headers in the head of an answer.
+/// Field key of the headers in the head of an answer.
 const ANSWER_HEADERS_KEY: u8 = bytes_key(3);
-/// The key of the head in a frame of an answer.
+/// Field key of the head in a frame of an answer.
 const ANSWER_HEAD_KEY: u8 = bytes_key(1);
-/// The keys of a header's name and value.
+/// Field keys of the name and value of a header.
 const NAME_KEY: u8 = bytes_key(1);
 const VALUE_KEY: u8 = bytes_key(2);
 
-/// Returns the key of a field of bytes, whose tag is below 16.
+/// Returns the key of a length-delimited field, whose tag must be below 16.
 const fn bytes_key(tag: u8) -> u8 {
     tag << 3 | 2
 }
 
-/// Writes a message behind its length, and the payload after it.
+/// Encodes a message with its length, followed by the payload.
 pub(super) fn encode_body(message: &impl Message, payload: &[u8]) -> Bytes {
     let length = message.encoded_len();
     let mut body = buffer_for(length, payload);
@@ -33,8 +34,8 @@
     body.freeze()
 }
 
-/// Writes the head of a call, which has no headers of its own, with `headers`,
-/// and the payload after it.
+/// Encodes the head of a call, whose own headers are empty, with `headers`,
+/// followed by the payload.
 pub(super) fn encode_call_body(
     head: &wire::CallHead,
     headers: &HeaderMap,
@@ -49,8 +50,8 @@
     body.freeze()
 }
 
-/// Writes a frame with the head of an answer, which has no headers of its own,
-/// with `headers`, and the payload after it.
+/// Encodes a frame with the head of an answer, whose own headers are empty, with
+/// `headers`, followed by the payload.
 pub(super) fn encode_answer_body(
     head: &wire::AnswerHead,
     headers: &HeaderMap,
@@ -74,14 +75,14 @@
 fn append_message(message: &impl Message, to: &mut BytesMut) {
     message
         .encode(to)
-        .expect("a buffer that grows takes any message");
+        .expect("a growing buffer holds any message");
 }
 
 fn append_length(length: usize, to: &mut BytesMut) {
     encode_varint(length as u64, to);
 }
 
-/// Returns the bytes that a part of `length` bytes takes with its key.
+/// Returns the encoded size of a field of `length` bytes, with its key.
 fn field_len(length: usize) -> usize {
     1 + length_delimiter_len(length) + length
 }
@@ -101,7 +102,7 @@
         .sum()
 }
 
-/// Writes headers as they stand, without a message made of each.
+/// Encodes headers directly, without a message for each.
 fn append_headers(key: u8, headers: &HeaderMap, to: &mut BytesMut) {
     for (name, value) in headers {
         let (name, value): (&[u8], &[u8]) = (name.as_ref(), value.as_bytes());
@@ -113,11 +114,12 @@
     }
 }
 
-/// Takes the message off the front of a body; what is left is the payload.
+/// Removes and decodes the message at the start of a body, and leaves the
+/// payload.
 ///
 /// # Errors
 ///
-/// Fails if the body does not begin with a message.
+/// Fails if the body does not begin with a valid message.
 pub(super) fn take_message<M: Message + Default>(body: &mut Bytes) -> Result<M, Error> {
     M::decode_length_delimited(body).map_err(|e| Error::value("message", e.to_string()))
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! Calls and news between daemons.
+//! Calls and gossip between daemons.
 //!
-//! Calls that need a word before their answer go by `tonic`; news, and a call that
-//! is one message there and one back, go as plain HTTP requests, which take half
-//! of the processor time.
+//! Calls that need a frame before their answer are sent through `tonic`. Gossip,
+//! and calls of one message each way, are plain HTTP requests, which take half
+//! of the CPU time.
 
 mod call;
 mod checksum;
--- a/src/peer/notice.rs
+++ b/src/peer/notice.rs
@@ -1,11 +1,11 @@
-//! What backend servers say of themselves, in the peer protocol.
+//! Notices of backend servers in the peer protocol.
 
 use std::time::Duration;
 
 use super::generated as wire;
 use crate::model::{Rate, RunId, Told};
 
-/// Writes what a backend server has said of itself.
+/// Encodes a notice of a backend server.
 pub(super) fn encode_notice(notice: &Told) -> wire::Told {
     wire::Told {
         run: notice.run.get(),
@@ -15,7 +15,7 @@
     }
 }
 
-/// Reads what a backend server has said of itself.
+/// Decodes a notice of a backend server.
 pub(super) fn decode_notice(notice: &wire::Told) -> Told {
     let rate = Rate::from_thousandths(notice.rate);
     Told {
@@ -25,13 +25,13 @@
     }
 }
 
-/// Writes how long a call waits for room, in whole milliseconds begun.
+/// Encodes the time that a call waits for the rate, in milliseconds rounded up.
 pub(super) fn encode_rate_delay(delay: Duration) -> u32 {
     let ms = delay.as_nanos().div_ceil(1_000_000);
     u32::try_from(ms).unwrap_or(u32::MAX)
 }
 
-/// Reads how long a call waits for room.
+/// Decodes the time that a call waits for the rate.
 pub(super) fn decode_rate_delay(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
--- a/src/peer/plain_call.rs
+++ b/src/peer/plain_call.rs
@@ -1,9 +1,9 @@
-//! Calls to other daemons that are one request and one answer.
+//! Calls to other daemons as one plain HTTP request and response.
 //!
-//! A plain call on a connection of its own costs both daemons about half of the
-//! processor time that a stream among others does: no frames, windows and
+//! A plain call uses a connection exclusively. It costs both daemons about half
+//! the CPU time of a multiplexed stream: there are no frames, windows or
 //! trailers, no task that owns the connection for all callers, and no early
-//! word that the call arrived, since the daemon was heard from just before.
+//! acknowledgement, since the other daemon responded recently.
 
 use bytes::Bytes;
 use tokio::time::timeout_at;
@@ -20,12 +20,12 @@
 use crate::model::Instance;
 use crate::web::Payload;
 
-/// Sends a call that came whole to the guard of `instance`, with what `head`
-/// says of it and its headers, and waits for the answer.
+/// Sends a call with a complete body to the guard of `instance`, and waits for
+/// the answer. The headers come from `call`, all other fields from `head`.
 ///
 /// # Errors
 ///
-/// Returns what to tell the caller in place of an answer.
+/// Returns the refusal to send to the caller.
 pub(super) async fn send(
     pool: &Pool,
     instance: Instance,
--- a/src/peer/plain_client.rs
+++ b/src/peer/plain_client.rs
@@ -1,4 +1,4 @@
-//! Plain requests to one daemon.
+//! Client for plain requests to one daemon.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -17,19 +17,19 @@
 use super::plain_pool::{PlainPool, RequestError};
 use crate::web::{Chunks, Cut, Dial, Payload};
 
-/// How long sent bytes may go without an acknowledgement of the other VM; its
-/// daemon may pause, its network stack does not.
+/// Timeout for the TCP acknowledgement of sent bytes. The daemon on the other VM
+/// may be paused, but its network stack still acknowledges.
 const ACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes plain requests to one daemon.
+/// Sends plain requests to one daemon.
 #[derive(Clone, Debug)]
 pub(super) struct PlainClient {
     connections: Arc<PlainPool>,
 }
 
 impl PlainClient {
-    /// Makes a client of the daemon at `address` whose connections go out from
-    /// `own`.
+    /// Creates a client of the daemon at `address`, whose connections are bound to
+    /// `local_ip`.
     pub(super) fn new(address: SocketAddr, local_ip: IpAddr) -> Self {
         let dial = Dial {
             address,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sends a message and reads the one that answers it.
+    /// Sends a message and reads the reply.
     pub(super) async fn query<A: prost::Message + Default>(
         &self,
         path: &'static str,
@@ -63,13 +63,13 @@
         take_message(&mut body).map_err(|e| failed(&e))
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that were idle for too long.
     pub(super) fn trim(&self) {
         self.connections.trim();
     }
 
-    /// Sends a call and reads its answer: whole if its length is known, else up
-    /// to its message.
+    /// Sends a call and reads its answer. A body of unknown length is returned as a
+    /// stream.
     pub(super) async fn call(
         self,
         call: Bytes,
@@ -90,26 +90,25 @@
     }
 }
 
-/// Why a question has no answer.
+/// Why a query failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum QueryError {
-    /// The other daemon knows no such question.
+    /// The other daemon does not support this query.
     Unknown,
-    /// It did not answer, or not in the right words.
+    /// The other daemon did not answer, or sent an invalid message.
     Failed(Box<str>),
 }
 
 impl std::fmt::Display for QueryError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Unknown => f.write_str("the other daemon knows no such question"),
+            Self::Unknown => f.write_str("the other daemon does not support this query"),
             Self::Failed(cause) => f.write_str(cause),
         }
     }
 }
 
-/// Reads the message of an answer that comes in chunks, whose connection ends
-/// with it.
+/// Reads the message of a chunked answer, whose connection is not reused.
 async fn read_stream(mut http: HttpStream) -> Result<(Option<AnswerPart>, Payload), RequestError> {
     let first = http
         .next_chunk()
@@ -124,7 +123,7 @@
     Ok((frame.frame, Payload::Stream { length, chunks }))
 }
 
-/// Takes a streamed answer in; the end of the chunks says that it is whole.
+/// Receives a streamed answer, which is complete if the last chunk arrives.
 async fn receive_chunks(mut http: HttpStream, first: Bytes, to: mpsc::Sender<Result<Bytes, Cut>>) {
     if !first.is_empty() && to.send(Ok(first)).await.is_err() {
         return;
--- a/src/peer/plain_pool.rs
+++ b/src/peer/plain_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to one daemon, each of which carries one plain request at a
-//! time and holds no buffer between two.
+//! Pool of connections to one daemon. Each carries one plain request at a time
+//! and holds no buffer while idle.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,22 +13,21 @@
 use super::http_stream::HttpStream;
 use crate::web::Dial;
 
-/// Idle connections that are kept to one daemon.
+/// Maximum number of idle connections to one daemon.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// How long a connection may be idle.
+/// Maximum idle time of a connection.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// Why there is no answer.
+/// Why a request got no answer.
 #[derive(Debug)]
 pub(super) struct RequestError {
-    /// Whether a connection was made, so that the request may have arrived.
+    /// Whether a connection was open, so that the request may have arrived.
     pub(super) connected: bool,
-    /// The cause.
     pub(super) cause: Box<str>,
 }
 
 impl RequestError {
-    /// Makes one of a request that may have arrived.
+    /// Creates the error of a request that may have arrived.
     pub(super) fn no_answer(cause: &dyn std::fmt::Display) -> Self {
         let cause = format!("no answer: {cause}").into();
         let connected = true;
@@ -42,17 +41,17 @@
     }
 }
 
-/// A connection that was given back.
+/// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
     stream: TcpStream,
     since: Instant,
 }
 
-/// Connections to one daemon.
+/// A pool of connections to one daemon.
 ///
-/// The one used last is used first, since the other end is the least likely to
-/// have closed or forgotten it.
+/// The most recently used connection is reused first, since the other end is
+/// least likely to have closed or dropped it.
 #[derive(Debug)]
 pub(super) struct PlainPool {
     dial: Dial,
@@ -61,7 +60,7 @@
 }
 
 impl PlainPool {
-    /// Makes a set without any connection.
+    /// Creates a pool without connections.
     pub(super) fn new(dial: Dial) -> Self {
         Self {
             dial,
@@ -70,10 +69,10 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// If this future is dropped its connection ends, which tells the other
-    /// daemon to give the request up.
+    /// Dropping this future closes the connection, which makes the other daemon
+    /// cancel the request.
     pub(super) async fn request(
         &self,
         path: &str,
@@ -85,7 +84,7 @@
             match http.send(&head, body).await {
                 Ok(()) => return receive_head(http).await,
                 Err(e) if e.any_sent => return Err(RequestError::no_answer(&e.cause)),
-                // The other end had closed the connection.
+                // The other end closed the connection while it was idle.
                 Err(_) => {}
             }
         }
@@ -96,7 +95,7 @@
         receive_head(http).await
     }
 
-    /// Takes out the connection that was used last of those that are open.
+    /// Removes and returns the most recently used connection that is still open.
     fn take_idle(&self) -> Option<TcpStream> {
         let mut idle = self.idle.lock();
         while let Some(IdleConnection { stream, .. }) = idle.pop_back() {
@@ -108,7 +107,7 @@
         None
     }
 
-    /// Gives a connection back whose answer was read whole.
+    /// Returns a connection to the pool after its response was read completely.
     pub(super) fn put_back(&self, http: HttpStream) {
         let Some(stream) = http.into_idle() else {
             return;
@@ -119,8 +118,8 @@
         close_expired(&mut idle, since);
     }
 
-    /// Closes connections that have been idle for too long, which is otherwise
-    /// done only when one is given back.
+    /// Closes connections that were idle for too long; otherwise this happens only
+    /// when a connection is returned.
     pub(super) fn trim(&self) {
         let mut idle = self.idle.lock();
         close_expired(&mut idle, Instant::now());
--- a/src/peer/plain_server.rs
+++ b/src/peer/plain_server.rs
@@ -1,4 +1,4 @@
-//! Answers to plain requests of other daemons.
+//! Serves plain requests of other daemons.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,15 +26,15 @@
 /// The answer to a plain request.
 #[derive(Debug)]
 pub(super) enum PlainAnswer {
-    /// A status alone.
+    /// A status without a body.
     Status(StatusCode),
-    /// A body whole.
+    /// A complete body.
     Whole(Bytes),
-    /// The first part of a body, and the rest as it comes.
+    /// The first part of a body, and a stream of the rest.
     Stream(Bytes, Chunks),
 }
 
-/// What a plain request asks for.
+/// The kind of a plain request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Call,
@@ -54,8 +54,8 @@
 }
 
 impl PeerService {
-    /// Answers plain requests on one connection until it ends, or until the
-    /// daemon stops; `busy` is set while one is under way.
+    /// Serves plain requests on one connection until it ends or the daemon stops.
+    /// `busy` is set while a request is in progress.
     pub(super) async fn serve_plain(&self, stream: TcpStream, busy: &AtomicBool) {
         let mut http = HttpStream::new(stream);
         while http.wait_readable().await.is_ok() {
@@ -66,21 +66,21 @@
                 Ok(true) if !self.stopping.load(Ordering::Relaxed) => {}
                 Ok(_) => return,
                 Err(e) => {
-                    spdlog::debug!("plain request", kv: { cause = e.to_string().as_str() });
+                    spdlog::debug!("plain request failed", kv: { cause = e.to_string().as_str() });
                     return;
                 }
             }
         }
     }
 
-    /// Serves one request; returns whether another may follow. If the other
-    /// daemon closes the connection, the request is given up.
+    /// Serves one request, and returns whether another may follow. If the other
+    /// daemon closes the connection, the request is cancelled.
     async fn serve_request(&self, http: &mut HttpStream) -> io::Result<bool> {
         let Some(request) = http.read_request().await? else {
             return Ok(false);
         };
         let body = http.read_body(request.length).await?;
-        // On the heap, so that idle connections need no room for it.
+        // Boxed, so that idle connections do not hold space for it.
         let answer = Box::pin(self.answer_plain(&request.path, body));
         let answer = tokio::select! {
             biased;
@@ -92,7 +92,6 @@
         Ok(request.keep_alive)
     }
 
-    /// Answers a plain request.
     async fn answer_plain(&self, path: &str, body: Bytes) -> PlainAnswer {
         let answer = match RequestKind::from_path(path) {
             None => return PlainAnswer::Status(StatusCode::NOT_FOUND),
@@ -107,7 +106,7 @@
         answer.unwrap_or(PlainAnswer::Status(StatusCode::BAD_REQUEST))
     }
 
-    /// Answers a call; `None` if the body is none.
+    /// Answers a call. Returns `None` if the body is invalid.
     async fn answer_call(&self, mut body: Bytes) -> Option<PlainAnswer> {
         let message: wire::CallHead = take_message(&mut body).ok()?;
         let attempt = decode_attempt_id(&message.attempt).ok()?;
@@ -143,7 +142,7 @@
     http.send(&head, &body).await.map_err(|e| e.cause)
 }
 
-/// Sends an answer as it comes; its end is not sent if it is cut.
+/// Sends a streamed answer. If it is incomplete, the last chunk is not sent.
 async fn send_stream(http: &mut HttpStream, first: Bytes, mut rest: Chunks) -> io::Result<()> {
     let head = response_head(StatusCode::OK, BodyLength::Chunked);
     http.send(&head, &[]).await.map_err(|e| e.cause)?;
@@ -163,7 +162,7 @@
     }
 }
 
-/// Answers a message by another; `None` if the body is none.
+/// Answers a message with another. Returns `None` if the body is invalid.
 fn answer_message<A, B>(mut body: Bytes, answer: impl FnOnce(&A) -> B) -> Option<PlainAnswer>
 where
     A: prost::Message + Default,
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! Standing connections to other daemons.
+//! Pool of connections to other daemons.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,14 +13,14 @@
 use super::generated::peer_client::PeerClient;
 use super::plain_client::PlainClient;
 
-/// How often a connection with calls out is asked whether it still lives.
+/// Interval of keep-alive pings on a connection with calls in flight.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// How long such a question may go unanswered.
+/// Timeout of a keep-alive ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that may be under way on one stream and on one connection.
+/// Flow control windows of a stream and of a connection, in bytes.
 const STREAM_WINDOW: u32 = 1024 * 1024;
 const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
-/// How long a connection of streams may go unused; it costs both daemons some
+/// Maximum idle time of a connection of streams, which costs both daemons about
 /// 50 KB.
 const MAX_UNUSED_TIME: Duration = Duration::from_secs(20);
 
@@ -31,11 +31,11 @@
     last_used: Instant,
 }
 
-/// The connections to each daemon that is called: one that carries any number
-/// of streams, and some that carry one plain call at a time.
+/// The connections to other daemons: for each, one that carries any number of
+/// streams, and several that carry one plain call at a time.
 ///
-/// A connection that has gone silent is found by unanswered pings or probes
-/// while calls are out on it; all connections to the daemon are then replaced.
+/// Unanswered pings or probes reveal a dead connection while calls are in flight
+/// on it. All connections to the daemon are then replaced.
 #[derive(Debug)]
 pub struct Pool {
     handle: Handle,
@@ -45,7 +45,7 @@
 }
 
 impl Pool {
-    /// Makes an empty pool whose connections go out from `own` and are driven
+    /// Creates an empty pool whose connections are bound to `local_ip` and driven
     /// on `handle`.
     pub fn new(handle: Handle, local_ip: IpAddr) -> Self {
         Self {
@@ -63,7 +63,8 @@
         plain.entry(address).or_insert_with(new_plain).clone()
     }
 
-    /// Returns the connection to `address`, which is made when first used.
+    /// Returns the client of streams to `address`, whose connection is opened on
+    /// first use.
     pub(super) fn client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let last_used = Instant::now();
         let mut clients = self.clients.lock();
@@ -80,7 +81,7 @@
         Some(client)
     }
 
-    /// Makes a new connection apart from the standing one.
+    /// Creates a client with a new connection outside the pool.
     pub(super) fn new_client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
         let endpoint = endpoint
@@ -101,14 +102,14 @@
         )
     }
 
-    /// Drops the connections to `address`; the next call makes a new one.
+    /// Drops the connections to `address`; the next call opens a new one.
     pub(super) fn replace(&self, address: SocketAddr) {
         self.clients.lock().remove(&address);
         self.plain.lock().remove(&address);
     }
 
-    /// Closes connections that have been idle for too long; calls that are out
-    /// on them go on.
+    /// Closes connections that were idle for too long. Calls in flight on them
+    /// continue.
     pub fn trim(&self) {
         let now = Instant::now();
         let is_recent = |connection: &StreamConnection| {
@@ -120,18 +121,18 @@
         self.plain.lock().values().for_each(PlainClient::trim);
     }
 
-    /// Drops the connections to all addresses that `keep` does not know.
+    /// Drops the connections to all addresses for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.clients.lock().retain(|address, _| keep(address));
         self.plain.lock().retain(|address, _| keep(address));
     }
 
-    /// Returns the number of connections.
+    /// Returns the number of connections of streams.
     pub fn len(&self) -> usize {
         self.clients.lock().len()
     }
 
-    /// Tells whether there is no connection.
+    /// Returns whether there are no connections of streams.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/peer/query.rs
+++ b/src/peer/query.rs
@@ -1,4 +1,4 @@
-//! One question to a neighbour, and its answer.
+//! A single exchange request to a neighbour and its reply.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 use super::plain_client::QueryError;
 use super::pool::Pool;
 
-/// The path of questions for news.
+/// The path of exchange requests.
 pub(super) const EXCHANGE_PATH: &str = "/exchange";
-/// How long a neighbour may take to answer, and to send documents.
+/// Timeout of a request whose reply contains documents.
 pub(super) const TIMEOUT: Duration = Duration::from_secs(2);
-/// How long it may take to answer where it has nothing large to send. One that
-/// is called silent has failed three times in four seconds.
+/// Timeout of a request without documents. A neighbour is marked silent after
+/// three failures in four seconds.
 const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an exchange gave nothing.
+/// Why an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExchangeError(pub Box<str>);
 
@@ -26,8 +26,9 @@
     }
 }
 
-/// Asks the daemon at `address`: plainly, since a stream costs twice as much,
-/// or by a stream if it runs a version that knows no plain questions.
+/// Sends a request to the daemon at `address`, as a plain request because a
+/// stream costs twice as much, or over a stream if its version does not support
+/// plain requests.
 pub(super) async fn query(
     pool: &Pool,
     address: SocketAddr,
@@ -61,7 +62,7 @@
         Err(QueryError::Unknown) => {}
         Err(QueryError::Failed(cause)) => return Err(cause),
     }
-    let mut client = pool.client(address).ok_or("no valid address")?;
+    let mut client = pool.client(address).ok_or("the address is invalid")?;
     match client.exchange(request).await {
         Ok(answer) => Ok(answer.into_inner()),
         Err(status) => Err(status.message().into()),
--- a/src/peer/rollout.rs
+++ b/src/peer/rollout.rs
@@ -1,4 +1,4 @@
-//! Configuration on its way between daemons.
+//! Distribution of configurations between daemons.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,11 @@
 use crate::error::Error;
 use crate::tables::{ActiveConfiguration, Shared};
 
-/// Fetches a later version of the configuration from a neighbour.
+/// Fetches a later version of the configuration from a neighbour and applies it.
+///
+/// # Errors
+///
+/// Fails if the neighbour does not answer in time, or sends an invalid version.
 pub(super) async fn fetch_configuration(
     shared: &Shared,
     pool: &Pool,
@@ -48,7 +52,7 @@
     apply_configuration(shared, manifest, documents.into_values().collect()).map_err(invalid)
 }
 
-/// Returns the documents of a manifest that are in force already.
+/// Returns the documents of a manifest that are already in force.
 pub(crate) fn known_documents(
     known: Option<&ActiveConfiguration>,
     manifest: &Manifest,
@@ -65,7 +69,11 @@
         .collect()
 }
 
-/// Puts a version in force and tells the rest of the daemon.
+/// Puts a version in force and notifies the other tasks of the daemon.
+///
+/// # Errors
+///
+/// Fails if the documents are invalid.
 pub(crate) fn apply_configuration(
     shared: &Shared,
     manifest: Manifest,
@@ -81,7 +89,7 @@
     Ok(())
 }
 
-/// Returns the documents that a neighbour asked for.
+/// Returns the documents that a neighbour requested.
 pub(super) fn requested_documents(
     in_force: Option<&ActiveConfiguration>,
     want: &[String],
@@ -89,8 +97,8 @@
     let Some(in_force) = in_force else {
         return Vec::new();
     };
-    // The manifest names the hashes; each exchange comes by here, and computing
-    // them anew would go through all routes.
+    // The hashes are read from the manifest, since this runs in every exchange
+    // and recomputing them would process all routes.
     in_force
         .manifest
         .documents
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Taking of calls and news from other daemons.
+//! Serves calls and gossip of other daemons.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,23 +29,23 @@
 use crate::tables::{Shared, mint_now};
 use crate::web::{Chunks, Cut, Payload};
 
-/// Frames that wait to be sent.
+/// Maximum number of frames queued for sending.
 const MAX_QUEUED_FRAMES: usize = 8;
 
-/// Answers other daemons.
+/// The service that answers other daemons.
 pub struct PeerService {
     pub(super) shared: Arc<Shared>,
     pub(super) guard: Arc<Guard>,
-    /// The own instance, as messages name it.
+    /// The own instance, formatted as in messages.
     own_name: Box<str>,
-    /// Whether no more plain requests are taken on a connection.
+    /// Whether connections accept no further plain requests.
     pub(super) stopping: AtomicBool,
 }
 
 type AnswerStream = Pin<Box<dyn Stream<Item = Result<wire::AnswerFrame, Status>> + Send>>;
 
 impl PeerService {
-    /// Makes the service of a daemon.
+    /// Creates the service of a daemon.
     pub fn new(shared: Arc<Shared>, guard: Arc<Guard>) -> Self {
         let own_name = shared.instance.to_string().into();
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Checks that a message means this very instance.
+    /// Returns whether a message is addressed to this instance.
     fn is_addressed(&self, instance: &str) -> bool {
         let same = |named: Instance| named == self.shared.instance;
         *instance == *self.own_name || instance.parse().is_ok_and(same)
@@ -67,8 +67,8 @@
             return Err(Reason::Replaced);
         }
         if let Some(suspect) = &head.suspect {
-            let told = decode_suspects(std::slice::from_ref(suspect));
-            self.shared.merge_suspects(&told);
+            let suspects = decode_suspects(std::slice::from_ref(suspect));
+            self.shared.merge_suspects(&suspects);
         }
         let in_force = self.shared.current.get();
         let estate = in_force.as_ref().map(|in_force| &in_force.estate);
@@ -107,7 +107,8 @@
     }
 }
 
-/// Sends a streamed answer on; if it is cut, the stream ends in an error.
+/// Forwards a streamed answer. If it is incomplete, the stream ends with an
+/// error.
 async fn send_chunks(mut chunks: Chunks, to: mpsc::Sender<Result<wire::AnswerFrame, Status>>) {
     let mut checksum = BodyChecksum::default();
     while let Some(chunk) = chunks.next().await {
@@ -128,7 +129,7 @@
         .await;
 }
 
-/// Takes a streamed body in; it counts as whole only if its tail fits.
+/// Receives a streamed body, which is complete only if its tail matches.
 async fn receive_chunks(
     mut frames: Streaming<wire::CallFrame>,
     to: mpsc::Sender<Result<Bytes, Cut>>,
@@ -154,8 +155,8 @@
     }
 }
 
-/// Takes the frames of a streamed body; gives back those of a call that came
-/// whole, whose end is yet to arrive.
+/// Starts to receive a streamed body. For a call with a complete body, returns
+/// the frames, whose end has not arrived yet.
 fn receive_body(
     frames: Streaming<wire::CallFrame>,
     body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
@@ -167,16 +168,17 @@
     None
 }
 
-/// Makes the question by which the entry is asked to let a held call start.
+/// Creates the confirmation by which the guard asks the entry whether to start a
+/// call.
 fn confirm(
-    questions: mpsc::Sender<Result<wire::AnswerFrame, Status>>,
+    start_requests: mpsc::Sender<Result<wire::AnswerFrame, Status>>,
     mut frames: Streaming<wire::CallFrame>,
     body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
 ) -> Confirm {
     Confirm::new(move || {
         Box::pin(async move {
-            let question = answer_frame(AnswerPart::Start(wire::Start {}));
-            if questions.send(Ok(question)).await.is_err() {
+            let start_request = answer_frame(AnswerPart::Start(wire::Start {}));
+            if start_requests.send(Ok(start_request)).await.is_err() {
                 return false;
             }
             let reply = match frames.message().await {
@@ -209,7 +211,7 @@
         let attempt = decode_attempt_id(&message.attempt)
             .map_err(|e| Status::invalid_argument(e.to_string()))?;
         let streamed = message.streamed;
-        let held = message.held;
+        let needs_confirm = message.held;
         let account = message.account;
         let bytes = std::mem::take(&mut message.body);
         let head = match self.read_head(message) {
@@ -227,11 +229,11 @@
         } else {
             (Payload::Whole(bytes), None)
         };
-        let (questions, question_frames) = mpsc::channel(1);
-        let (confirm, frames) = if held {
-            (Some(confirm(questions, frames, sender)), None)
+        let (start_requests, request_frames) = mpsc::channel(1);
+        let (confirm, frames) = if needs_confirm {
+            (Some(confirm(start_requests, frames, sender)), None)
         } else {
-            drop(questions);
+            drop(start_requests);
             (None, receive_body(frames, sender))
         };
         let guard = Arc::clone(&self.guard);
@@ -240,16 +242,16 @@
             body,
             confirm,
         };
-        // The head of the answer leaves at once, which says that the call has
-        // arrived. If the entry gives up, the stream and the call are dropped.
+        // The response head is sent at once, which acknowledges the arrival of
+        // the call. If the entry cancels, the stream and the call are dropped.
         let served = futures_util::stream::once(async move {
             let result = guard.serve(call).await;
-            // Frames that were not read to the end count as reset.
+            // Dropped only after the call, since unread frames count as a reset.
             drop(frames);
             respond(attempt, result).into_inner()
         });
         let answered = futures_util::StreamExt::flatten(served);
-        let messages = futures_util::stream::select(ReceiverStream::new(question_frames), answered);
+        let messages = futures_util::stream::select(ReceiverStream::new(request_frames), answered);
         Ok(Response::new(Box::pin(messages)))
     }
 
@@ -263,7 +265,7 @@
         let key: OnceKey = message.once_key.parse().map_err(invalid)?;
         let planned = Attempt::with_id(attempt);
         if !self.is_addressed(&message.instance) {
-            // The instance that was asked is gone; this one knows nothing.
+            // The addressed instance is gone, and this one has no record of the call.
             let refusal = planned.refuse_once(crate::policy::once::OnceRefusal::OwnerLost);
             return Ok(respond(attempt, Err(refusal)));
         }
--- a/src/peer/suspect.rs
+++ b/src/peer/suspect.rs
@@ -1,4 +1,4 @@
-//! Suspects of crashes in the peer protocol.
+//! Crash suspects in the peer protocol.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::model::CrashId;
 use crate::policy::crash::{CrashRecord, Suspect};
 
-/// Most strikes, and callers, that are read of one suspect.
+/// Maximum number of crash records, and of callers, decoded for one suspect.
 const MAX_RECORDS: usize = 64;
 
-/// Writes what is known of a suspect.
+/// Encodes a suspect.
 pub(super) fn encode_suspect(suspect: &Suspect, now: Instant) -> wire::Suspect {
     let age = now
         .saturating_duration_since(suspect.last_crash)
@@ -34,11 +34,11 @@
     }
 }
 
-/// Reads what another daemon knows of a suspect.
+/// Decodes a suspect.
 ///
 /// # Errors
 ///
-/// Fails if its id has another length.
+/// Fails if its digest does not have 16 bytes.
 pub(super) fn decode_suspect(message: &wire::Suspect, now: Instant) -> Result<Suspect, Error> {
     let age = Duration::from_millis(u64::from(message.age_ms));
     let strikes: BTreeSet<CrashRecord> = message
@@ -58,20 +58,20 @@
     })
 }
 
-/// Writes several suspects.
+/// Encodes several suspects.
 pub(super) fn encode_suspects(suspects: &[Suspect]) -> Vec<wire::Suspect> {
     let now = Instant::now();
     suspects.iter().map(|s| encode_suspect(s, now)).collect()
 }
 
-/// Reads several suspects; those that cannot be read are passed over.
+/// Decodes several suspects, and skips invalid ones.
 pub(super) fn decode_suspects(messages: &[wire::Suspect]) -> Vec<Suspect> {
     let now = Instant::now();
     let read = messages.iter().map(|message| decode_suspect(message, now));
     read.filter_map(|suspect| match suspect {
         Ok(suspect) => Some(suspect),
         Err(e) => {
-            spdlog::debug!("suspect not understood", kv: { cause = e.to_string().as_str() });
+            spdlog::debug!("invalid suspect skipped", kv: { cause = e.to_string().as_str() });
             None
         }
     })
