--- a/tests/plain_calls.rs
+++ b/tests/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons that are one request and one answer.
+//! Plain calls between daemons: one HTTP request and one response.
 
 #![allow(missing_docs)]
 
@@ -17,7 +17,8 @@
 const CALLED: &str = "forecast-archive";
 const CALLING: &str = "station-status";
 
-/// Two daemons; the first has no backend server of the service that is called.
+/// Starts two daemons; the calling one has no backend server of the service that
+/// it calls.
 async fn site(answer: usize) -> Site {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
     let mut estate = Site::estate(&dir, 1, 1.0).expect("an estate");
@@ -38,7 +39,8 @@
     all.find(|s| s.service.as_str() == name).expect("a server")
 }
 
-/// Calls the other daemon's service; `None` if the answer does not end well.
+/// Calls the service of the other daemon. Returns `None` if the answer is
+/// incomplete.
 async fn call(site: &Site) -> Option<(u16, Bytes)> {
     let url = format!("http://{}/charts/1", server(site, CALLING).callers);
     let host = headers(&[("host", CALLED)]);
@@ -48,20 +50,21 @@
 
 #[rstest]
 #[case::small(64)]
-#[case::held_whole(200_000)]
+#[case::buffered(200_000)]
 #[case::streamed(2_000_000)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn call_brings_whole_answer(#[case] size: usize) {
+async fn call_returns_complete_answer(#[case] size: usize) {
     let site = site(size).await;
-    // The first calls make connections, the later ones use them again.
+    // The first calls open connections, and later ones reuse them.
     for _ in 0..20 {
         let (status, body) = call(&site).await.expect("an answer");
         assert_eq!((status, body.len()), (200, size));
     }
 }
 
-/// Announces two million bytes on each connection, and closes before them.
-fn cutting_backend(address: SocketAddr) {
+/// Announces a body of 2,000,000 bytes on each connection, but closes it after
+/// 700,000.
+fn truncating_backend(address: SocketAddr) {
     let listener = TcpListener::bind(address).expect("a listener");
     std::thread::spawn(move || {
         for stream in listener.incoming().take(16) {
@@ -75,23 +78,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn call_never_makes_a_cut_answer_whole() {
+async fn call_fails_on_incomplete_answer() {
     let mut site = site(64).await;
-    let place = site
+    let index = site
         .servers
         .iter()
         .position(|s| s.service.as_str() == CALLED);
-    let cut = site.servers.remove(place.expect("a server"));
-    let address = cut.daemon.shared().config.backend;
-    drop(cut.backend);
+    let removed = site.servers.remove(index.expect("a server"));
+    let address = removed.daemon.shared().config.backend;
+    drop(removed.backend);
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-    cutting_backend(address);
+    truncating_backend(address);
     for _ in 0..4 {
-        let ended = call(&site).await;
+        let answer = call(&site).await;
         assert!(
-            ended.as_ref().is_none_or(|(status, _)| *status >= 500),
+            answer.as_ref().is_none_or(|(status, _)| *status >= 500),
             "a success of {} bytes",
-            ended.map_or(0, |(_, body)| body.len())
+            answer.map_or(0, |(_, body)| body.len())
         );
     }
 }
@@ -101,7 +104,7 @@
 #[case::empty("/call", b"", 400)]
 #[case::other_path("/else", b"", 404)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn peer_refuses_what_is_no_call(
+async fn peer_rejects_invalid_calls(
     #[case] path: &str,
     #[case] body: &'static [u8],
     #[case] status: u16,
@@ -114,11 +117,11 @@
     assert_eq!(call(&site).await.expect("an answer").0, 200);
 }
 
-/// Answers one request with headers that are empty, long or come twice; tells
-/// the head that it got.
-fn telling_backend(address: SocketAddr) -> std::sync::mpsc::Receiver<String> {
+/// Answers one request per connection with empty, long and repeated headers, and
+/// reports the head of the request.
+fn recording_backend(address: SocketAddr) -> std::sync::mpsc::Receiver<String> {
     let listener = TcpListener::bind(address).expect("a listener");
-    let (tell, told) = std::sync::mpsc::channel();
+    let (sender, heads) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().take(16) {
             let Ok(mut stream) = stream else { return };
@@ -127,7 +130,7 @@
             while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap_or(0) == 1 {
                 head.extend_from_slice(&byte);
             }
-            let _ = tell.send(String::from_utf8_lossy(&head).to_lowercase());
+            let _ = sender.send(String::from_utf8_lossy(&head).to_lowercase());
             let long = "v".repeat(300);
             let answer = format!(
                 "HTTP/1.1 201 Created\r\nx-empty:\r\nx-twice: a\r\nx-twice: b\r\n\
@@ -136,21 +139,21 @@
             let _ = stream.write_all(answer.as_bytes());
         }
     });
-    told
+    heads
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn call_carries_headers_both_ways() {
     let mut site = site(64).await;
-    let place = site
+    let index = site
         .servers
         .iter()
         .position(|s| s.service.as_str() == CALLED);
-    let told = site.servers.remove(place.expect("a server"));
-    let address = told.daemon.shared().config.backend;
-    drop(told.backend);
+    let removed = site.servers.remove(index.expect("a server"));
+    let address = removed.daemon.shared().config.backend;
+    drop(removed.backend);
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-    let told = telling_backend(address);
+    let heads = recording_backend(address);
     let url = format!("http://{}/charts/1?a=b", server(&site, CALLING).callers);
     let long = "w".repeat(300);
     let sent = headers(&[
@@ -162,7 +165,7 @@
     let answer = request(Method::GET, &url, sent, Bytes::new())
         .await
         .expect("an answer");
-    let head = told.recv().expect("a head");
+    let head = heads.recv().expect("a head");
     assert!(head.starts_with("get /charts/1?a=b http/1.1"), "{head}");
     for line in [
         "x-none: \r",
@@ -186,14 +189,14 @@
 #[case::in_pieces(&["POST /el", "se HTTP/1.1\r\ncontent-le", "ngth: 3\r\n\r\na", "bc"], "404")]
 #[case::in_chunks(&["POST /call HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nab", "c\r\n0\r\n\r\n"], "400")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn peer_answers_what_comes_in_pieces(#[case] pieces: &[&str], #[case] status: &str) {
+async fn peer_answers_split_requests(#[case] pieces: &[&str], #[case] status: &str) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let site = site(64).await;
     let peers = server(&site, CALLED).daemon.shared().config.listen.peers;
     let mut stream = tokio::net::TcpStream::connect(peers)
         .await
         .expect("a connection");
-    // Twice, since a connection is used again.
+    // Twice, to test that the connection is reused.
     for _ in 0..2 {
         for piece in pieces {
             stream.write_all(piece.as_bytes()).await.expect("to write");
@@ -210,14 +213,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn peer_closes_its_connections_when_it_stops() {
+async fn peer_closes_connections_on_stop() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut site = site(64).await;
-    let place = site
+    let index = site
         .servers
         .iter()
         .position(|s| s.service.as_str() == CALLED);
-    let stopped = site.servers.remove(place.expect("a server"));
+    let stopped = site.servers.remove(index.expect("a server"));
     let peers = stopped.daemon.shared().config.listen.peers;
     let mut stream = tokio::net::TcpStream::connect(peers)
         .await
--- a/tests/readers.rs
+++ b/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Readers of what others write: whatever the bytes, they read or refuse.
+//! Decoders of external data: for any bytes, they return a value or an error.
 
 #![allow(missing_docs)]
 
@@ -23,17 +23,17 @@
     "i-1".parse().expect("an id")
 }
 
-/// A text with some bytes replaced, taken out or put in.
+/// Returns `text` with some bytes replaced, removed or inserted.
 fn damaged(text: &'static str) -> impl Strategy<Value = Vec<u8>> {
     let change = (0..text.len(), 0..3_u8, any::<u8>());
     prop::collection::vec(change, 1..6).prop_map(move |changes| {
         let mut bytes = text.as_bytes().to_vec();
-        for (place, kind, byte) in changes {
-            let place = place.min(bytes.len() - 1);
+        for (index, kind, byte) in changes {
+            let index = index.min(bytes.len() - 1);
             match kind {
-                0 => bytes[place] = byte,
-                1 if bytes.len() > 1 => drop(bytes.remove(place)),
-                _ => bytes.insert(place, byte),
+                0 => bytes[index] = byte,
+                1 if bytes.len() > 1 => drop(bytes.remove(index)),
+                _ => bytes.insert(index, byte),
             }
         }
         bytes
@@ -41,9 +41,9 @@
 }
 
 fn read_all(bytes: &[u8]) {
-    if let Ok((_, news)) = read_announcement(bytes, &server()) {
-        assert_eq!(news.server, server());
-        assert!(news.slots.get() > 0);
+    if let Ok((_, announcement)) = read_announcement(bytes, &server()) {
+        assert_eq!(announcement.server, server());
+        assert!(announcement.slots.get() > 0);
     }
     let _ = read_document(bytes);
     let _ = serde_json::from_slice::<Member>(bytes);
@@ -52,32 +52,32 @@
 
 proptest! {
     #[test]
-    fn readers_end_on_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn readers_return_on_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         read_all(&bytes);
     }
 
     #[test]
-    fn readers_end_on_damaged_announcements(bytes in damaged(ANNOUNCEMENT)) {
+    fn readers_return_on_damaged_announcements(bytes in damaged(ANNOUNCEMENT)) {
         read_all(&bytes);
     }
 
     #[test]
-    fn readers_end_on_damaged_members(bytes in damaged(MEMBER)) {
+    fn readers_return_on_damaged_members(bytes in damaged(MEMBER)) {
         read_all(&bytes);
     }
 
     #[test]
-    fn readers_end_on_damaged_documents(bytes in damaged(DOCUMENT)) {
+    fn readers_return_on_damaged_documents(bytes in damaged(DOCUMENT)) {
         read_all(&bytes);
     }
 
     #[test]
-    fn readers_end_on_damaged_settings(bytes in damaged(SETTINGS)) {
+    fn readers_return_on_damaged_settings(bytes in damaged(SETTINGS)) {
         read_all(&bytes);
     }
 
     #[test]
-    fn read_announcement_refuses_other_types(field in 0..4_usize, value in 0..5_usize) {
+    fn read_announcement_rejects_wrong_types(field in 0..4_usize, value in 0..5_usize) {
         let value = ["null", "[]", "{}", "true", "\"x y\""][value];
         let fields = [r#""slots":20"#, r#""state":"ready""#, r#""sequence":4"#, r#""upstream":"svc""#];
         let name = fields[field].split(':').next().expect("a name");
@@ -87,13 +87,14 @@
 }
 
 #[test]
-fn read_announcement_passes_over_fields_that_are_new() {
+fn read_announcement_ignores_unknown_fields() {
     let text = ANNOUNCEMENT.replace("\"zone\"", "\"later\":{\"a\":[1]},\"zone\"");
-    let (service, news) = read_announcement(text.as_bytes(), &server()).expect("an announcement");
+    let (service, announcement) =
+        read_announcement(text.as_bytes(), &server()).expect("an announcement");
     assert_eq!(service.as_str(), "svc");
-    assert_eq!(news.intent, Intent::Serve);
+    assert_eq!(announcement.intent, Intent::Serve);
     assert_eq!(
-        news.start.map(|born| born.as_millis()),
+        announcement.start.map(|start| start.as_millis()),
         Some(1_764_720_000_123)
     );
 }
