--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -12,7 +12,7 @@
 use super::context::Context;
 use super::retry_source::RetrySource;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
-use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
+use crate::model::{AttemptId, Instance, RelayedNotice, Retries, Verdict};
 use crate::peer::{self, OutgoingCall};
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
@@ -218,14 +218,14 @@
         attempt: AttemptId,
         account: Retries,
         body: Payload,
-        told: Option<Told>,
+        told: Option<RelayedNotice>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
-                account,
-                told,
-                waits: self.may_wait,
+                granted_retries: account,
+                notice: told,
+                may_wait: self.may_wait,
                 ..self.head().clone()
             },
             body,
@@ -247,8 +247,8 @@
 
     fn settle_grant(&self, grant: RetryGrant, result: &Result<Reply, Refusal>) {
         let unused = match result {
-            Ok(reply) => Some(reply.head.account),
-            Err(refusal) if refusal.news.is_some() => Some(refusal.account),
+            Ok(reply) => Some(reply.head.returned_retries),
+            Err(refusal) if refusal.guard_status.is_some() => Some(refusal.returned_retries),
             Err(refusal) if refusal.verdict() == Verdict::NotRun => Some(grant.retries),
             Err(_) => None,
         };
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -21,7 +21,9 @@
 use crate::call::{Attempt, Reason, Refusal};
 use crate::guard::Guard;
 use crate::metrics::Ending;
-use crate::model::{Asked, CallId, CallerName, Fingerprint, OnceKey, ServiceName, Verdict};
+use crate::model::{
+    CallId, CallerName, Fingerprint, OnceKey, RequestContent, ServiceName, Verdict,
+};
 use crate::peer::Pool;
 use crate::policy::admission::Shed;
 use crate::policy::once::OnceRefusal;
@@ -201,7 +203,7 @@
         let body = match timeout_at(deadline, read_body(&parts.headers, body, must_buffer)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::TooLarge)) => return refused(Reason::TooLarge),
-            Ok(Err(BodyError::Truncated)) => return refused(Reason::RequestCut),
+            Ok(Err(BodyError::Truncated)) => return refused(Reason::IncompleteRequest),
             Err(_) => return refused(Reason::Shed(Shed::Deadline)),
         };
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
@@ -216,7 +218,7 @@
         {
             Ok(outcome) => outcome,
             Err(_) => CallOutcome {
-                result: Err(Attempt::plan().send().lose(Reason::Timeout, "")),
+                result: Err(Attempt::plan().mark_sent().abandon(Reason::Timeout, "")),
                 retries: 0,
                 targets: Box::default(),
             },
@@ -234,7 +236,7 @@
         let Payload::Whole(body) = body else {
             return None;
         };
-        let request = Asked {
+        let request = RequestContent {
             method: &parts.method,
             host: request_host(parts),
             target: &accepted.head.target,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -20,7 +20,7 @@
 mod serve;
 mod target;
 
-pub use crate::call::{ATTEMPT, TIMEOUT};
+pub use crate::call::{ATTEMPT_HEADER, TIMEOUT_HEADER};
 pub use handler::Entry;
 pub use header::{REASON, TICKET, VERDICT};
 pub use serve::serve_callers;
--- a/src/guard/reply.rs
+++ b/src/guard/reply.rs
@@ -1,4 +1,4 @@
-//! What a call's end at the backend server means for its entry.
+//! Replies and refusals to the entry for calls that were sent to the backend server.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -8,14 +8,14 @@
 use super::server_request::ServerAnswer;
 use super::{Guard, SlotPermit};
 use crate::call::{Attempt, Reason, Refusal, Reply, ReplyHead, Sent};
-use crate::model::{GuardNews, Retries};
+use crate::model::{GuardStatus, Retries};
 use crate::policy::admission::Outcome;
 use crate::tables::{ParentCall, ParentCallGuard};
 use crate::web::{Chunks, Payload};
 
 impl Guard {
     pub(super) fn close_call(&self, mut refusal: Refusal, held: &ParentCallGuard) -> Refusal {
-        refusal.account = held.close();
+        refusal.returned_retries = held.close();
         refusal
     }
 
@@ -27,25 +27,29 @@
     ) -> Refusal {
         let refusal = match error {
             BackendError::Connect(cause) | BackendError::NoListener(cause) => attempt
-                .unsent()
+                .revert_sent()
                 .refuse(Reason::Unreachable, cause.clone())
-                .of_key(),
+                .with_key_scope(),
             BackendError::NotRun(retry_after) => {
-                let mut refusal = attempt.unsent().refuse(Reason::Rejected, "");
+                let mut refusal = attempt.revert_sent().refuse(Reason::Rejected, "");
                 refusal.retry_after = *retry_after;
                 refusal
             }
             BackendError::OtherServer(found) => {
                 let found = found.as_ref().map_or("", |server| server.as_str());
-                attempt.unsent().refuse(Reason::Replaced, found)
+                attempt.revert_sent().refuse(Reason::Replaced, found)
+            }
+            BackendError::ConnectionLost(cause) => {
+                attempt.abandon(Reason::IncompleteAnswer, cause.clone())
             }
-            BackendError::ConnectionLost(cause) => attempt.lose(Reason::Cut, cause.clone()),
             BackendError::Crashed(crash) => {
-                let mut refusal = attempt.lose(Reason::Crashed, crash.to_string());
+                let mut refusal = attempt.abandon(Reason::Crashed, crash.to_string());
                 refusal.crash = Some(*crash);
                 refusal
             }
-            BackendError::InvalidAnswer(cause) => attempt.lose(Reason::Garbage, cause.clone()),
+            BackendError::InvalidAnswer(cause) => {
+                attempt.abandon(Reason::InvalidAnswer, cause.clone())
+            }
         };
         self.shared
             .metrics
@@ -53,8 +57,7 @@
         self.close_call(refusal, held)
     }
 
-    /// Takes note of how a call ended; returns whether calls were made onwards
-    /// for it.
+    /// Records how a call ended; returns whether it made onward calls.
     pub(super) fn record_end(
         &self,
         slot: &mut SlotPermit,
@@ -63,25 +66,25 @@
     ) -> bool {
         let refused_here =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        let met = held.take_onward_outcomes();
+        let outcomes = held.take_onward_outcomes();
         let answered = !status.is_server_error();
-        let refused = met.iter().any(|met| met.refused);
+        let refused = outcomes.iter().any(|outcome| outcome.refused);
         if status != StatusCode::GATEWAY_TIMEOUT {
-            let excused = met.iter().any(|met| met.failed);
+            let excused = outcomes.iter().any(|outcome| outcome.failed);
             slot.record_fault(!answered && !excused);
         }
-        slot.record_downstream(&met, answered);
+        slot.record_onward(&outcomes, answered);
         let outcome = match (refused, answered) {
             (true, false) => Outcome::Failed,
             _ if refused_here => Outcome::Refused,
             _ => Outcome::Answered,
         };
         slot.set_outcome(outcome);
-        !met.is_empty()
+        !outcomes.is_empty()
     }
 
-    /// Makes the reply; a large body is passed on by a task that keeps the
-    /// slot until its end.
+    /// Creates the reply; a task forwards a large body and holds the slot until the
+    /// body ends.
     pub(super) fn reply(
         &self,
         answer: ServerAnswer,
@@ -92,23 +95,23 @@
         let mut head = ReplyHead {
             status: answer.status,
             headers: answer.headers,
-            account: Retries::new(0),
-            news: GuardNews::default(),
-            onward,
-            kept: false,
+            returned_retries: Retries::new(0),
+            guard_status: GuardStatus::default(),
+            made_calls: onward,
+            from_store: false,
         };
         let body = match answer.body {
             AnswerBody::Whole(bytes) => {
-                head.account = held.close();
+                head.returned_retries = held.close();
                 drop(slot);
                 Payload::Whole(bytes)
             }
             AnswerBody::Large(first, rest) => {
-                head.account = held.close();
+                head.returned_retries = held.close();
                 self.forward_body(answer.length, first, rest, (slot, held))
             }
         };
-        head.news = self.status();
+        head.guard_status = self.status();
         Reply { head, body }
     }
 
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a call from the gate to the backend server and back.
+//! Handling of a call from admission to the backend server's answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,10 +20,10 @@
 use crate::tables::{CallStep, ParentCall, Shared, StepDetail};
 use crate::web::Payload;
 
-/// Slots of a backend server whose service is not declared yet.
+/// Slots assumed until the configuration declares the service.
 const UNDECLARED_SLOTS: Slots = Slots::new(1);
 
-/// Stands before the one backend server of the VM.
+/// Admits calls to the one backend server of the VM and forwards them.
 pub struct Guard {
     pub(super) shared: Arc<Shared>,
     pub(super) gate: Arc<Gate>,
@@ -39,7 +39,7 @@
 }
 
 impl Guard {
-    /// Makes the guard of a daemon; tasks that outlive a call run on `handle`.
+    /// Creates the guard of a daemon; tasks that outlive a call run on `handle`.
     pub fn new(shared: Arc<Shared>, handle: Handle) -> Arc<Self> {
         let settings = Settings {
             slots: UNDECLARED_SLOTS,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns the service that it guards.
+    /// Returns the service of the guarded backend server.
     pub fn service(&self) -> &ServiceName {
         &self.shared.config.service
     }
@@ -76,18 +76,17 @@
         &self.gate
     }
 
-    /// Returns the once calls.
+    /// Returns the ledger of at-most-once calls.
     pub fn once(&self) -> &OnceCalls {
         &self.once
     }
 
-    /// Closes connections to the backend server that have been idle for too
-    /// long.
+    /// Closes connections to the backend server that exceeded the idle timeout.
     pub fn trim(&self) {
         self.backend.trim();
     }
 
-    /// Takes the rules in force.
+    /// Applies the current configuration.
     pub fn reload(&self) {
         let Some(in_force) = self.shared.current.get() else {
             return;
@@ -114,7 +113,7 @@
         usable_slots(self.announced_slots().unwrap_or_else(|| self.declared()))
     }
 
-    /// Returns the slots by the rules in force.
+    /// Returns the slots that the current configuration declares.
     fn declared(&self) -> Slots {
         self.shared
             .current
@@ -130,11 +129,11 @@
     ///
     /// # Errors
     ///
-    /// Returns what to tell the caller in place of an answer.
+    /// Returns the refusal if the backend server did not answer the call.
     pub async fn serve(self: &Arc<Self>, call: Call) -> Result<Reply, Refusal> {
         let attempt = Attempt::with_id(call.head.attempt);
-        let account = call.head.account;
-        if let Some(notice) = call.head.told {
+        let account = call.head.granted_retries;
+        if let Some(notice) = call.head.notice {
             self.apply_relayed_notice(notice);
         }
         let result = match self.check(&call.head) {
@@ -142,11 +141,11 @@
             Ok(()) => match (&call.head.once, call.body) {
                 (Some(once), Payload::Whole(body)) => {
                     let once = once.clone();
-                    // On the heap, so that other calls need no room for it.
+                    // Boxed to keep the future of all other calls small.
                     Box::pin(self.serve_once(attempt, call.head, once, body)).await
                 }
                 (Some(_), Payload::Stream { .. }) => {
-                    let detail = "a once call must be sent whole";
+                    let detail = "a call with an idempotency key must be sent with a complete body";
                     Err(self.return_retries(attempt.refuse(Reason::TooLarge, detail), account))
                 }
                 (None, body) => {
@@ -160,7 +159,7 @@
             },
         };
         result.map_err(|mut refusal| {
-            refusal.news = Some(self.status());
+            refusal.guard_status = Some(self.status());
             if let Reason::Shed(shed) = refusal.reason()
                 && shed.is_overload()
             {
@@ -177,19 +176,19 @@
         if head.depth > Depth::MAX {
             return Err(Reason::TooDeep);
         }
-        let begun = |once: &OnceCall| self.once.has_begun(&once.key);
+        let started = |once: &OnceCall| self.once.has_begun(&once.key);
         match self.lease_state() {
             LeaseState::Serving => Ok(()),
-            // A repeat that starts nothing is answered to the end.
-            LeaseState::Leaving if head.once.as_ref().is_some_and(begun) => Ok(()),
+            // Repeats of a key that was already started are still answered.
+            LeaseState::Leaving if head.once.as_ref().is_some_and(started) => Ok(()),
             LeaseState::Leaving => Err(Reason::Shed(Shed::Leaving)),
             LeaseState::Absent => Err(Reason::Unreachable),
         }
     }
 
-    /// Sends the whole account home with a refusal; nothing of it was used.
+    /// Adds all retries that the call brought to the refusal; none was used.
     pub(super) fn return_retries(&self, mut refusal: Refusal, account: Retries) -> Refusal {
-        refusal.account = account;
+        refusal.returned_retries = account;
         refusal
     }
 
@@ -218,33 +217,35 @@
         } = call;
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
-            Err(refused) => return Err(self.return_retries(refused.refuse(attempt), head.account)),
+            Err(refused) => {
+                return Err(self.return_retries(refused.refuse(attempt), head.granted_retries));
+            }
         };
         let mut slot = match self.acquire_slot(&head).await {
             Ok(slot) => slot,
             Err(shed) => {
                 let refusal = attempt.refuse(Reason::Shed(shed), self.detail(shed));
-                return Err(self.return_retries(refusal, head.account));
+                return Err(self.return_retries(refusal, head.granted_retries));
             }
         };
         if let Some(confirm) = confirm {
-            let confirmed = tokio::time::timeout_at(head.deadline, confirm.ask()).await;
+            let confirmed = tokio::time::timeout_at(head.deadline, confirm.request()).await;
             if confirmed != Ok(true) {
                 let refusal = attempt.refuse(Reason::Shed(Shed::Cancelled), "");
-                return Err(self.return_retries(refusal, head.account));
+                return Err(self.return_retries(refusal, head.granted_retries));
             }
         }
         if let Err(refused) = self.check_not_quarantined(&head) {
-            return Err(self.return_retries(refused.refuse(attempt), head.account));
+            return Err(self.return_retries(refused.refuse(attempt), head.granted_retries));
         }
         let held = self
             .shared
             .parent_calls
             .register(head.call, ParentCall::new(&head));
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let result = tokio::time::timeout_at(head.deadline, self.request(&head, body)).await;
         let answer = match result {
-            Err(_) => return Err(self.close_call(attempt.lose(Reason::Timeout, ""), &held)),
+            Err(_) => return Err(self.close_call(attempt.abandon(Reason::Timeout, ""), &held)),
             Ok(Err(error)) => {
                 slot.record_fault(error.is_fault());
                 return Err(self.refuse_failed(attempt, &error, &held));
--- a/src/peer/call.rs
+++ b/src/peer/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::call::CallHead;
-use crate::model::{Retries, Told};
+use crate::model::{RelayedNotice, Retries};
 use crate::policy::crash::Suspect;
 use crate::web::Payload;
 
@@ -31,7 +31,7 @@
     /// Record of crashes during which the request was in flight.
     pub suspect: Option<Suspect>,
     /// The last known notice of the target backend server.
-    pub notice: Option<Told>,
+    pub notice: Option<RelayedNotice>,
     /// Whether the call may wait for the rate requested by the backend server.
     pub may_wait: bool,
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -73,7 +73,7 @@
         Ok(Err(status)) if needs_confirm => {
             return Err(refuse_not_started(pool, instance, attempt, &status));
         }
-        Ok(Err(status)) => return Err(stream_failed(pool, instance, attempt.send(), &status)),
+        Ok(Err(status)) => return Err(stream_failed(pool, instance, attempt.mark_sent(), &status)),
         Err(_) => {
             pool.replace(instance.address);
             return Err(refuse_unacknowledged(attempt, needs_confirm));
@@ -83,7 +83,7 @@
         return start(pool, instance, attempt, answer, rest, deadline).await;
     }
     rest.send_body();
-    receive_answer(pool, instance, attempt.send(), answer, deadline).await
+    receive_answer(pool, instance, attempt.mark_sent(), answer, deadline).await
 }
 
 /// Refuses a call whose arrival the guard has not acknowledged.
@@ -92,8 +92,8 @@
         return attempt.refuse(Reason::Unreachable, "the guard did not answer in time");
     }
     attempt
-        .send()
-        .lose(Reason::Cut, "the guard did not answer in time")
+        .mark_sent()
+        .abandon(Reason::IncompleteAnswer, "the guard did not answer in time")
 }
 
 /// Waits until the guard requests confirmation, and confirms the start.
@@ -118,7 +118,9 @@
     };
     match first {
         Some(AnswerPart::Start(_)) => {}
-        Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt.send(), &refusal)),
+        Some(AnswerPart::Refusal(refusal)) => {
+            return Err(decode_refusal(attempt.mark_sent(), &refusal));
+        }
         _ => {
             return Err(attempt.refuse(
                 Reason::Unreachable,
@@ -132,7 +134,7 @@
             "no slot was free before the deadline",
         ));
     }
-    let attempt = attempt.send();
+    let attempt = attempt.mark_sent();
     rest.start();
     receive_answer(pool, instance, attempt, answer, deadline).await
 }
@@ -145,7 +147,7 @@
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
     match tokio::time::timeout_at(deadline + ANSWER_SLACK, first_frame(answer)).await {
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
         Ok(Err(status)) => Err(stream_failed(pool, instance, attempt, &status)),
         Ok(Ok((frame, rest))) => read_answer(attempt, frame, rest),
     }
@@ -163,9 +165,9 @@
     key: &OnceKey,
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    let attempt = Attempt::plan().send();
+    let attempt = Attempt::plan().mark_sent();
     let Some(mut client) = pool.new_client(instance.address) else {
-        return Err(attempt.lose(Reason::Unreachable, "the address is invalid"));
+        return Err(attempt.abandon(Reason::Unreachable, "the address is invalid"));
     };
     let left = deadline.saturating_duration_since(Instant::now());
     let request = InquireRequest {
@@ -180,8 +182,8 @@
         first_frame(answer.into_inner()).await
     };
     match tokio::time::timeout_at(deadline + ANSWER_SLACK, inquiry).await {
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
-        Ok(Err(status)) => Err(attempt.lose(Reason::Cut, status.message())),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
+        Ok(Err(status)) => Err(attempt.abandon(Reason::IncompleteAnswer, status.message())),
         Ok(Ok((frame, rest))) => read_answer(attempt, frame, rest),
     }
 }
@@ -283,10 +285,10 @@
     pool.replace(instance.address);
     if is_connect_error(status) {
         return attempt
-            .unsent()
+            .revert_sent()
             .refuse(Reason::Unreachable, status.message());
     }
-    attempt.lose(Reason::Cut, status.message())
+    attempt.abandon(Reason::IncompleteAnswer, status.message())
 }
 
 /// Returns whether connecting failed, so that nothing was sent.
@@ -309,15 +311,15 @@
     let head = match part {
         Some(AnswerPart::Head(head)) => head,
         Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt, &refusal)),
-        _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
+        _ => return Err(attempt.abandon(Reason::InvalidAnswer, "the answer has no head")),
     };
     if head.attempt != encode_id(attempt.id().get()) {
-        return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
+        return Err(attempt.abandon(Reason::InvalidAnswer, "the answer was to another attempt"));
     }
     let streamed = head.streamed;
     let (head, body) = match decode_reply(head) {
         Ok(parts) => parts,
-        Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
+        Err(e) => return Err(attempt.abandon(Reason::InvalidAnswer, e.to_string())),
     };
     let body = if streamed {
         let (sender, chunks) = Chunks::channel();
--- a/src/peer/notice.rs
+++ b/src/peer/notice.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use super::generated as wire;
-use crate::model::{Rate, RunId, Told};
+use crate::model::{Rate, RelayedNotice, RunId};
 
 /// Encodes a notice of a backend server.
-pub(super) fn encode_notice(notice: &Told) -> wire::Told {
+pub(super) fn encode_notice(notice: &RelayedNotice) -> wire::Told {
     wire::Told {
         run: notice.run.get(),
         limited: notice.rate.is_some(),
@@ -16,9 +16,9 @@
 }
 
 /// Decodes a notice of a backend server.
-pub(super) fn decode_notice(notice: &wire::Told) -> Told {
+pub(super) fn decode_notice(notice: &wire::Told) -> RelayedNotice {
     let rate = Rate::from_thousandths(notice.rate);
-    Told {
+    RelayedNotice {
         run: RunId::new(notice.run),
         rate: notice.limited.then_some(rate),
         leaving: notice.leaving,
--- a/src/peer/plain_call.rs
+++ b/src/peer/plain_call.rs
@@ -37,22 +37,24 @@
     let request = encode_call_body(&head, &call.headers, &body);
     drop((head, body));
     let client = pool.plain(instance.address);
-    let attempt = attempt.send();
+    let attempt = attempt.mark_sent();
     match timeout_at(call.deadline + ANSWER_SLACK, client.call(request)).await {
         Ok(Ok((part, payload))) => read_answer(attempt, part, payload),
         Ok(Err(failed)) => {
             pool.replace(instance.address);
             Err(refuse_failed(attempt, failed))
         }
-        Err(_) => Err(attempt.lose(Reason::Timeout, "no answer before the deadline")),
+        Err(_) => Err(attempt.abandon(Reason::Timeout, "no answer before the deadline")),
     }
 }
 
 fn refuse_failed(attempt: Attempt<Sent>, failed: RequestError) -> Refusal {
     if failed.connected {
-        attempt.lose(Reason::Cut, failed.cause)
+        attempt.abandon(Reason::IncompleteAnswer, failed.cause)
     } else {
-        attempt.unsent().refuse(Reason::Unreachable, failed.cause)
+        attempt
+            .revert_sent()
+            .refuse(Reason::Unreachable, failed.cause)
     }
 }
 
@@ -64,17 +66,17 @@
     let mut head = match part {
         Some(AnswerPart::Head(head)) => head,
         Some(AnswerPart::Refusal(refusal)) => return Err(decode_refusal(attempt, &refusal)),
-        _ => return Err(attempt.lose(Reason::Garbage, "the answer has no head")),
+        _ => return Err(attempt.abandon(Reason::InvalidAnswer, "the answer has no head")),
     };
     if head.attempt != encode_id(attempt.id().get()) {
-        return Err(attempt.lose(Reason::Garbage, "the answer was to another attempt"));
+        return Err(attempt.abandon(Reason::InvalidAnswer, "the answer was to another attempt"));
     }
     if let Payload::Whole(body) = &payload {
         head.body = body.clone();
     }
     let head = match decode_reply(head) {
         Ok((head, _)) => head,
-        Err(e) => return Err(attempt.lose(Reason::Garbage, e.to_string())),
+        Err(e) => return Err(attempt.abandon(Reason::InvalidAnswer, e.to_string())),
     };
     Ok(Reply {
         head,
--- a/src/peer/plain_server.rs
+++ b/src/peer/plain_server.rs
@@ -110,7 +110,7 @@
     async fn answer_call(&self, mut body: Bytes) -> Option<PlainAnswer> {
         let message: wire::CallHead = take_message(&mut body).ok()?;
         let attempt = decode_attempt_id(&message.attempt).ok()?;
-        let account = Retries::new(message.account);
+        let granted_retries = Retries::new(message.account);
         let result = match self.read_head(message) {
             Ok(head) => {
                 let body = Payload::Whole(body);
@@ -124,7 +124,7 @@
             }
             Err(reason) => {
                 let mut refusal = Attempt::with_id(attempt).refuse(reason, "");
-                refusal.account = account;
+                refusal.returned_retries = granted_retries;
                 Err(refusal)
             }
         };
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -22,7 +22,7 @@
 use super::id::decode_attempt_id;
 use super::ledger;
 use super::suspect::decode_suspects;
-use crate::call::{Attempt, Call, Confirm, Reason, Refusal, Reply, ReplyHead};
+use crate::call::{Attempt, Call, Reason, Refusal, Reply, ReplyHead, StartConfirmation};
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::model::{AttemptId, Instance, MintTime, OnceKey, Retries};
@@ -174,8 +174,8 @@
     start_requests: mpsc::Sender<Result<wire::AnswerFrame, Status>>,
     mut frames: Streaming<wire::CallFrame>,
     body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
-) -> Confirm {
-    Confirm::new(move || {
+) -> StartConfirmation {
+    StartConfirmation::new(move || {
         Box::pin(async move {
             let start_request = answer_frame(AnswerPart::Start(wire::Start {}));
             if start_requests.send(Ok(start_request)).await.is_err() {
@@ -212,13 +212,13 @@
             .map_err(|e| Status::invalid_argument(e.to_string()))?;
         let streamed = message.streamed;
         let needs_confirm = message.held;
-        let account = message.account;
+        let granted_retries = message.account;
         let bytes = std::mem::take(&mut message.body);
         let head = match self.read_head(message) {
             Ok(head) => head,
             Err(reason) => {
                 let mut refusal = Attempt::with_id(attempt).refuse(reason, "");
-                refusal.account = Retries::new(account);
+                refusal.returned_retries = Retries::new(granted_retries);
                 return Ok(respond(attempt, Err(refusal)));
             }
         };
--- a/src/peer/suspect.rs
+++ b/src/peer/suspect.rs
@@ -41,7 +41,7 @@
 /// Fails if its digest does not have 16 bytes.
 pub(super) fn decode_suspect(message: &wire::Suspect, now: Instant) -> Result<Suspect, Error> {
     let age = Duration::from_millis(u64::from(message.age_ms));
-    let strikes: BTreeSet<CrashRecord> = message
+    let records: BTreeSet<CrashRecord> = message
         .strikes
         .iter()
         .take(MAX_RECORDS)
@@ -52,7 +52,7 @@
         .collect();
     Ok(Suspect {
         digest: decode_id(&message.asked)?,
-        records: strikes,
+        records,
         answered_callers: message.answered.iter().take(MAX_RECORDS).copied().collect(),
         last_crash: now.checked_sub(age).unwrap_or(now),
     })
