--- a/src/bin/bramleyctl/controller.rs
+++ b/src/bin/bramleyctl/controller.rs
@@ -200,21 +200,23 @@
     let result = match remote.post::<_, ApplyResult>("apply", request).await {
         Ok(result) => result?,
         Err(lost) => ApplyResult::Unknown {
-            why: lost.to_string().into(),
+            reason: lost.to_string().into(),
         },
     };
     let (end, text) = match &result {
         ApplyResult::Accepted { version } => (End::Done, format!("accepted: version {version}\n")),
-        ApplyResult::Refused { why, changes, .. } => {
-            let mut text = format!("refused: {why}\n");
+        ApplyResult::Refused {
+            reason, changes, ..
+        } => {
+            let mut text = format!("refused: {reason}\n");
             for change in changes {
                 text.push_str(&format!("  {change}\n"));
             }
             (End::Refused, text)
         }
-        ApplyResult::Unknown { why } => (
+        ApplyResult::Unknown { reason } => (
             End::Unknown,
-            format!("unknown: {why}\nsettle it with: {settle}\n"),
+            format!("unknown: {reason}\nsettle it with: {settle}\n"),
         ),
     };
     show(json, &result, || text)?;
--- a/src/bin/bramleyctl/printer.rs
+++ b/src/bin/bramleyctl/printer.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use bramleymount::metrics::Row;
+use bramleymount::metrics::MetricsRow;
 use bramleymount::operator::{HistoryEntry, StatusAnswer, TopAnswer};
 use bramleymount::tables::JournalEntry;
 
@@ -29,7 +29,9 @@
             member
                 .version
                 .map_or("-".into(), |version| version.to_string()),
-            member.pace.map_or("-".into(), |pace| format!("{pace:.2}"))
+            member
+                .latency_ratio
+                .map_or("-".into(), |ratio| format!("{ratio:.2}"))
         );
     }
     let told: Vec<_> = members.iter().filter_map(|m| m.version).collect();
@@ -88,7 +90,7 @@
     text
 }
 
-fn table(text: &mut String, title: &str, rows: &[Row], old: &[Row], secs: f64) {
+fn table(text: &mut String, title: &str, rows: &[MetricsRow], old: &[MetricsRow], secs: f64) {
     let _ = writeln!(
         text,
         "{title:<24} {:>10} {:>10} {:>10} {:>10} {:>9} {:>9}",
@@ -96,7 +98,7 @@
     );
     for row in rows {
         let last = old.iter().find(|o| o.name == row.name);
-        let rate = |get: fn(&Row) -> u64| {
+        let rate = |get: fn(&MetricsRow) -> u64| {
             let before = last.map_or(0, get);
             get(row).saturating_sub(before) as f64 / secs
         };
@@ -104,7 +106,7 @@
             text,
             "{:<24} {:>10.1} {:>10.1} {:>10.1} {:>10.1} {:>9.2} {:>9.2}",
             row.name,
-            rate(|r| r.whole),
+            rate(|r| r.complete),
             rate(|r| r.shed),
             rate(|r| r.failed),
             rate(|r| r.retries),
--- a/src/bin/bramleymountd/controller.rs
+++ b/src/bin/bramleymountd/controller.rs
@@ -44,7 +44,10 @@
 }
 
 fn serve(args: &Args, config: Config) -> Result<bool, Error> {
-    init_log(config.level, args.log_format.unwrap_or(config.format))?;
+    init_log(
+        config.log_level,
+        args.log_format.unwrap_or(config.log_format),
+    )?;
     let settings = args.settings.clone();
     let runtime = runtime(config.workers)?;
     runtime.block_on(async {
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -11,19 +11,19 @@
 use crate::policy::retry::AllowanceSettings;
 
 /// Largest number of requests under way on one connection.
-const MAX_AHEAD: usize = 64;
+const MAX_PIPELINED: usize = 64;
 /// Largest number of other daemons that a platform names.
 const MAX_SEEDS: usize = 16;
 
-pub(super) fn check_ahead(path: &Path, entry: CallersEntry, errors: &mut Errors) -> usize {
-    let Some(ahead) = entry.ahead else {
+pub(super) fn check_pipelining(path: &Path, entry: CallersEntry, errors: &mut Errors) -> usize {
+    let Some(max_pipelined) = entry.max_pipelined else {
         return 1;
     };
-    if ahead.value > MAX_AHEAD {
-        let message = format!("ahead must be from 0 to {MAX_AHEAD} requests, such as 8");
-        errors.at(path, &ahead, message);
+    if max_pipelined.value > MAX_PIPELINED {
+        let message = format!("ahead must be from 0 to {MAX_PIPELINED} requests, such as 8");
+        errors.push_at(path, &max_pipelined, message);
     }
-    ahead.value
+    max_pipelined.value
 }
 
 /// Returns where the daemons answer that a platform names by the addresses at which
@@ -35,7 +35,7 @@
     errors: &mut Errors,
 ) -> Vec<SocketAddr> {
     if let Some(beyond) = seeds.get(MAX_SEEDS) {
-        errors.at(path, beyond, format!("write at most {MAX_SEEDS} seeds"));
+        errors.push_at(path, beyond, format!("write at most {MAX_SEEDS} seeds"));
     }
     let others = seeds.iter().filter(|seed| seed.value.ip() != peers.ip());
     others
@@ -43,7 +43,7 @@
         .collect()
 }
 
-pub(super) fn check_repeats(
+pub(super) fn check_retry_allowance(
     path: &Path,
     entry: Option<RepeatsEntry>,
     errors: &mut Errors,
@@ -52,7 +52,7 @@
         return AllowanceSettings::default();
     };
     if !(0.0..=1.0).contains(&entry.share.value) {
-        errors.at(path, &entry.share, "share must be from 0 to 1, such as 0.2");
+        errors.push_at(path, &entry.share, "share must be from 0 to 1, such as 0.2");
     }
     AllowanceSettings {
         share: entry.share.value,
@@ -60,7 +60,7 @@
     }
 }
 
-pub(super) fn check_rates(
+pub(super) fn check_rate_tolerance(
     path: &Path,
     entry: Option<RatesEntry>,
     errors: &mut Errors,
@@ -69,10 +69,10 @@
         return RateTolerance::default();
     };
     if !(0.0..=1.0).contains(&entry.over.value) {
-        errors.at(path, &entry.over, "over must be from 0 to 1, such as 0.1");
+        errors.push_at(path, &entry.over, "over must be from 0 to 1, such as 0.1");
     }
     if !(0.0..=1e6).contains(&entry.slack.value) {
-        errors.at(
+        errors.push_at(
             path,
             &entry.slack,
             "slack must be from 0 to 1000000 requests",
@@ -91,23 +91,23 @@
     for (place, address) in all.iter().enumerate() {
         if address.value.ip().is_unspecified() {
             let message = "write the VM's own IP number; other daemons must be able to use it";
-            errors.at(path, address, message);
+            errors.push_at(path, address, message);
         }
         if address.value.port() == 0 {
-            errors.at(path, address, "write a port above 0");
+            errors.push_at(path, address, "write a port above 0");
         }
         if all[..place]
             .iter()
             .any(|other| other.value == address.value)
         {
             let message = format!("{} stands twice; each needs its own", address.value);
-            errors.at(path, address, message);
+            errors.push_at(path, address, message);
         }
     }
     let operators = &listen.operators;
-    if !operators.value.ip().is_loopback() && !listen.operators_beyond_loopback {
+    if !operators.value.ip().is_loopback() && !listen.remote_operators {
         let message = "operators must be on loopback, since whoever reaches it can change the \
                        configuration; or write operators_beyond_loopback: true";
-        errors.at(path, operators, message);
+        errors.push_at(path, operators, message);
     }
 }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -34,8 +34,8 @@
     pub(super) workers: Option<Spanned<usize>>,
     #[serde(default)]
     pub(super) callers: CallersEntry,
-    #[serde(default)]
-    pub(super) fair: bool,
+    #[serde(rename = "fair", default)]
+    pub(super) fair_sharing: bool,
     #[serde(default)]
     pub(super) grace: Option<PositiveDuration>,
     #[serde(default)]
@@ -50,15 +50,15 @@
     #[serde(default)]
     pub(super) advertised: Option<SocketAddr>,
     pub(super) operators: Spanned<SocketAddr>,
-    #[serde(default)]
-    pub(super) operators_beyond_loopback: bool,
+    #[serde(rename = "operators_beyond_loopback", default)]
+    pub(super) remote_operators: bool,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct CallersEntry {
-    #[serde(default)]
-    pub(super) ahead: Option<Spanned<usize>>,
+    #[serde(rename = "ahead", default)]
+    pub(super) max_pipelined: Option<Spanned<usize>>,
 }
 
 #[derive(Debug, Deserialize)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,4 +6,4 @@
 mod settings;
 
 pub use log::{LogFormat, LogLevel, dropped_lines, init_log};
-pub use settings::{Config, Hosting, Listen};
+pub use settings::{Config, Hosting, ListenAddresses};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use super::check::{check_ahead, check_listen, check_rates, check_repeats, check_seeds};
+use super::check::{
+    check_listen, check_pipelining, check_rate_tolerance, check_retry_allowance, check_seeds,
+};
 use super::file::File;
 use super::{LogFormat, LogLevel};
 use crate::declare::{Errors, parse, read};
@@ -21,7 +23,7 @@
 
 /// The addresses on which a daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// For callers, and for onward calls of the own backend server.
     pub callers: SocketAddr,
     /// For other daemons.
@@ -42,9 +44,9 @@
     /// For scrapers of metrics, if any.
     pub metrics: Option<SocketAddr>,
     /// What the platform allows of retries.
-    pub repeats: AllowanceSettings,
+    pub retry_allowance: AllowanceSettings,
     /// What the platform tolerates of workspaces that exceed their rates.
-    pub rates: RateTolerance,
+    pub rate_tolerance: RateTolerance,
 }
 
 /// The settings of one daemon.
@@ -57,7 +59,7 @@
     /// The service of the backend server.
     pub service: ServiceName,
     /// Where the daemon listens.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Where the backend server listens, on loopback.
     pub backend: SocketAddr,
     /// Where the platform's table service and object store answer.
@@ -76,17 +78,17 @@
     pub workers: usize,
     /// Requests of one connection of a caller that may be under way; with one
     /// or none each waits for the answer to the one in front of it.
-    pub ahead: usize,
+    pub max_pipelined: usize,
     /// Whether workspaces share the backend server's slot time by their rates.
-    pub fair: bool,
+    pub fair_sharing: bool,
     /// How long a planned stop waits for calls in flight.
     pub grace: PositiveDuration,
     /// Whether the operators' interface may listen beyond loopback.
-    pub open: bool,
+    pub remote_operators: bool,
     /// Least severe level that is logged.
-    pub level: LogLevel,
+    pub log_level: LogLevel,
     /// The form of log lines.
-    pub format: LogFormat,
+    pub log_format: LogFormat,
 }
 
 impl Config {
@@ -117,31 +119,31 @@
         if !file.backend.value.ip().is_loopback() && file.backend.value.ip() != own {
             let message = "backend must be on loopback, such as 127.0.0.1:9000, or on the VM's \
                            own IP number that callers use";
-            errors.at(path, &file.backend, message);
+            errors.push_at(path, &file.backend, message);
         }
         if file.platform.value.port() == 0 {
-            errors.at(path, &file.platform, "platform must name a port above 0");
+            errors.push_at(path, &file.platform, "platform must name a port above 0");
         }
         if file.neighbours.len() > MAX_NEIGHBOURS {
             let message = format!("write at most {MAX_NEIGHBOURS} neighbours");
-            errors.at(path, &file.neighbours[MAX_NEIGHBOURS], message);
+            errors.push_at(path, &file.neighbours[MAX_NEIGHBOURS], message);
         }
         for neighbour in &file.neighbours {
             if neighbour.value == file.listen.peers.value {
                 let message = "a daemon is no neighbour of its own; remove the line";
-                errors.at(path, neighbour, message);
+                errors.push_at(path, neighbour, message);
             }
         }
         let workers = match &file.workers {
             Some(count) if count.value == 0 || count.value > MAX_WORKERS => {
                 let message = format!("workers must be from 1 to {MAX_WORKERS}");
-                errors.at(path, count, message);
+                errors.push_at(path, count, message);
                 1
             }
             Some(count) => count.value,
             None => 1,
         };
-        let ahead = check_ahead(path, file.callers, &mut errors);
+        let max_pipelined = check_pipelining(path, file.callers, &mut errors);
         let mut neighbours: Vec<SocketAddr> = file.neighbours.iter().map(|n| n.value).collect();
         if let Some(entry) = &file.hosting {
             let peers = file.listen.peers.value;
@@ -151,14 +153,14 @@
             announcements: entry.announcements,
             readiness: entry.readiness,
             metrics: entry.metrics,
-            repeats: check_repeats(path, entry.repeats, &mut errors),
-            rates: check_rates(path, entry.rates, &mut errors),
+            retry_allowance: check_retry_allowance(path, entry.repeats, &mut errors),
+            rate_tolerance: check_rate_tolerance(path, entry.rates, &mut errors),
         });
-        errors.or(Self {
+        errors.into_result(Self {
             centre: file.data_centre,
             hall: file.hall,
             service: file.service,
-            listen: Listen {
+            listen: ListenAddresses {
                 callers: file.listen.callers.value,
                 peers: file.listen.peers.value,
                 advertised: file.listen.advertised.unwrap_or(file.listen.peers.value),
@@ -172,12 +174,12 @@
             metrics: file.metrics,
             front: file.front,
             workers,
-            ahead,
-            fair: file.fair,
+            max_pipelined,
+            fair_sharing: file.fair_sharing,
             grace: file.grace.unwrap_or(PositiveDuration::from_millis(30_000)),
-            open: file.listen.operators_beyond_loopback,
-            level: file.log.level,
-            format: file.log.format,
+            remote_operators: file.listen.remote_operators,
+            log_level: file.log.level,
+            log_format: file.log.format,
         })
     }
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -18,9 +18,9 @@
 use crate::entry::{Entry, serve_callers};
 use crate::error::Error;
 use crate::guard::Guard;
-use crate::metrics::{Gauges, Group, Metrics, page, workspaces};
+use crate::metrics::{Gauges, Group, Metrics, metrics_page, workspace_page};
 use crate::model::{Instance, StartStamp};
-use crate::operator::{Operator, serve_operators};
+use crate::operator::{OperatorService, serve_operators};
 use crate::peer::{PeerService, Pool, serve_peers};
 use crate::platform::{
     PlatformProtocol, RowStore, serve_announcements, serve_readiness, watch_configuration,
@@ -94,7 +94,7 @@
         let service = PeerService::new(Arc::clone(&shared), Arc::clone(&guard));
         serve_peers(shared.config.listen.peers, service, stopped).await?;
         let callers = serve_callers(Arc::clone(&entry)).await?;
-        let operators = serve_operators(Operator {
+        let operators = serve_operators(OperatorService {
             shared: Arc::clone(&shared),
             guard: Arc::clone(&guard),
             entry: Arc::clone(&entry),
@@ -190,8 +190,8 @@
             rate: guard.gate().rate(),
             version: shared.current.version().get(),
         };
-        let mut text = page(&shared.metrics.rows(Group::Class), gauges);
-        text += &workspaces(&guard.usages());
+        let mut text = metrics_page(&shared.metrics.rows(Group::Class), gauges);
+        text += &workspace_page(&guard.usages());
         async move { caller_text(StatusCode::OK, "text/plain; version=0.0.4", text) }
     })
     .await
@@ -223,7 +223,7 @@
         state: MemberState::Waiting,
         slots: None,
     };
-    let allowed = config.hosting.map(|hosting| hosting.repeats);
+    let allowed = config.hosting.map(|hosting| hosting.retry_allowance);
     let patience = patience(&config);
     Ok(Shared {
         instance,
@@ -239,7 +239,7 @@
         rates: WorkspaceRates::new(
             config
                 .hosting
-                .map_or_else(RateTolerance::default, |hosting| hosting.rates),
+                .map_or_else(RateTolerance::default, |hosting| hosting.rate_tolerance),
         ),
         journal: CallJournal::default(),
         log_limiter: CallLogLimiter::default(),
--- a/src/declare/check.rs
+++ b/src/declare/check.rs
@@ -7,7 +7,7 @@
 use super::inventory::Inventory;
 use super::rules::Rules;
 use super::source::Errors;
-use super::{Class, Estate, Once};
+use super::{Class, Estate, OnceSettings};
 use crate::model::ClassName;
 
 /// The two files that are checked together.
@@ -31,12 +31,12 @@
             .workspaces
             .as_ref()
             .map(|entries| self.workspaces(entries, &classes));
-        let once = Once {
+        let once = OnceSettings {
             horizon: rules.once.horizon,
-            memory: rules.once.memory,
+            retention: rules.once.retention,
             ledger_bytes: rules.once.ledger_bytes,
         };
-        self.errors.or(Estate {
+        self.errors.into_result(Estate {
             centres,
             services,
             classes,
@@ -48,11 +48,11 @@
     }
 
     pub(super) fn inventory<T>(&mut self, at: &Spanned<T>, message: String) {
-        self.errors.at(self.inventory_file, at, message);
+        self.errors.push_at(self.inventory_file, at, message);
     }
 
     pub(super) fn rules<T>(&mut self, at: &Spanned<T>, message: String) {
-        self.errors.at(self.rules_file, at, message);
+        self.errors.push_at(self.rules_file, at, message);
     }
 
     pub(super) fn known_class(&mut self, name: &Spanned<ClassName>, classes: &[Class]) {
--- a/src/declare/check_rules.rs
+++ b/src/declare/check_rules.rs
@@ -4,7 +4,7 @@
 
 use super::check::Checker;
 use super::rules::{CallerEntry, ClassEntry, RouteEntry, WorkEntry};
-use super::{Caller, Class, Route, Service, Share, Work};
+use super::{Caller, Class, Route, Service, Share, WorkRule};
 use crate::model::{ClassRank, Retries, ServiceName};
 
 /// Retries of a request if its class does not say.
@@ -68,7 +68,7 @@
             let class = &entry.class.value;
             self.known_class(&entry.class, classes);
             self.pattern(entry);
-            let work = Work {
+            let work = WorkRule {
                 method: entry.method.as_ref().map(|m| m.value.clone()),
                 path: entry.path.as_ref().map(|p| p.value.clone()),
                 class: class.clone(),
--- a/src/declare/check_workspaces.rs
+++ b/src/declare/check_workspaces.rs
@@ -4,7 +4,7 @@
 
 use super::check::Checker;
 use super::rules::WorkspaceEntry;
-use super::{Class, Limit, Workspace, Workspaces};
+use super::{Class, RateLimit, Workspace, Workspaces};
 use crate::model::KeyDigest;
 
 impl Checker<'_> {
@@ -68,10 +68,10 @@
         keys
     }
 
-    fn limit(&mut self, entry: &WorkspaceEntry) -> Option<Limit> {
+    fn limit(&mut self, entry: &WorkspaceEntry) -> Option<RateLimit> {
         let name = &entry.name.value;
         match (entry.rate, &entry.burst) {
-            (Some(rate), burst) => Some(Limit {
+            (Some(rate), burst) => Some(RateLimit {
                 rate,
                 burst: burst.as_ref().map_or(0, |burst| burst.value),
             }),
--- a/src/declare/document.rs
+++ b/src/declare/document.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use super::{Caller, Centre, Class, Estate, Once, Service, Workspace, Workspaces};
+use super::{Caller, Centre, Class, Estate, OnceSettings, Service, Workspace, Workspaces};
 use crate::error::Error;
 use crate::model::ServiceName;
 
@@ -104,7 +104,7 @@
 struct Classes {
     classes: Vec<Class>,
     callers: Vec<Caller>,
-    once: Once,
+    once: OnceSettings,
 }
 
 /// Cuts an estate into documents.
--- a/src/declare/estate.rs
+++ b/src/declare/estate.rs
@@ -37,7 +37,7 @@
 
 /// Assigns calls to a class by service, method and path.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct WorkRule {
     /// The method, or any.
     pub method: Option<Box<str>>,
     /// What the path begins with, or any.
@@ -46,7 +46,7 @@
     pub class: ClassName,
 }
 
-impl Work {
+impl WorkRule {
     fn matches(&self, method: &str, path: &str) -> bool {
         let method_fits = self.method.as_deref().is_none_or(|m| m == method);
         let path_fits = self.path.as_deref().is_none_or(|p| path.starts_with(p));
@@ -68,7 +68,7 @@
     /// Where its servers stand.
     pub servers: Vec<Placement>,
     /// The classes of calls to it, the first match counts.
-    pub work: Vec<Work>,
+    pub work: Vec<WorkRule>,
 }
 
 impl Service {
@@ -108,11 +108,12 @@
 
 /// How once calls are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Once {
+pub struct OnceSettings {
     /// How far ahead mint times are given out.
     pub horizon: PositiveDuration,
     /// How long keys are remembered.
-    pub memory: PositiveDuration,
+    #[serde(rename = "memory")]
+    pub retention: PositiveDuration,
     /// Most bytes that a guard's ledger holds.
     pub ledger_bytes: Bytes,
 }
@@ -133,7 +134,7 @@
     /// The workspaces; where there are none, callers need no key.
     pub workspaces: Option<Workspaces>,
     /// How once calls are kept.
-    pub once: Once,
+    pub once: OnceSettings,
 }
 
 impl Estate {
@@ -157,7 +158,7 @@
 
     /// Tells whether an operator ends a route's requests before its objective,
     /// which says that a slow answer is worth nothing there.
-    pub fn ends_early(&self) -> bool {
+    pub fn has_early_timeout(&self) -> bool {
         self.routes.iter().any(|r| r.timeout < r.objective)
     }
 
@@ -169,7 +170,7 @@
 
     /// Returns the least important rank of those down to which all classes
     /// are protected.
-    pub fn protected(&self) -> Option<ClassRank> {
+    pub fn last_protected_rank(&self) -> Option<ClassRank> {
         let count = self.classes.iter().take_while(|c| c.protected).count();
         count.checked_sub(1).map(ClassRank::new)
     }
--- a/src/declare/mod.rs
+++ b/src/declare/mod.rs
@@ -17,9 +17,9 @@
 
 pub use diff::{DocumentChange, diff};
 pub use document::{Document, DocumentName, Hash, join, split};
-pub use estate::{Caller, Centre, Class, Estate, Once, Placement, Service, Work};
+pub use estate::{Caller, Centre, Class, Estate, OnceSettings, Placement, Service, WorkRule};
 pub use load::load;
 pub use manifest::Manifest;
 pub use route::{Route, Share};
 pub use source::{Errors, parse, read};
-pub use workspace::{Limit, Workspace, Workspaces};
+pub use workspace::{RateLimit, Workspace, Workspaces};
--- a/src/declare/rules.rs
+++ b/src/declare/rules.rs
@@ -115,8 +115,8 @@
 pub(super) struct OnceEntry {
     #[serde(default = "default_horizon")]
     pub(super) horizon: PositiveDuration,
-    #[serde(default = "default_memory")]
-    pub(super) memory: PositiveDuration,
+    #[serde(rename = "memory", default = "default_retention")]
+    pub(super) retention: PositiveDuration,
     #[serde(default = "default_ledger")]
     pub(super) ledger_bytes: Bytes,
 }
@@ -125,7 +125,7 @@
     PositiveDuration::from_millis(60_000)
 }
 
-fn default_memory() -> PositiveDuration {
+fn default_retention() -> PositiveDuration {
     PositiveDuration::from_millis(24 * 3600 * 1000)
 }
 
@@ -137,7 +137,7 @@
     fn default() -> Self {
         Self {
             horizon: default_horizon(),
-            memory: default_memory(),
+            retention: default_retention(),
             ledger_bytes: default_ledger(),
         }
     }
--- a/src/declare/source.rs
+++ b/src/declare/source.rs
@@ -17,7 +17,7 @@
 
 impl Errors {
     /// Adds a mistake in `file` at the place of `value`.
-    pub fn at<T>(&mut self, file: &Path, value: &Spanned<T>, message: impl Into<Box<str>>) {
+    pub fn push_at<T>(&mut self, file: &Path, value: &Spanned<T>, message: impl Into<Box<str>>) {
         let line = line_of(Some(value.referenced));
         self.0.push(Error::input(file, line, message));
     }
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// Returns the mistakes, if there are any.
-    pub fn or<T>(self, value: T) -> Result<T, Self> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             Ok(value)
         } else {
--- a/src/declare/workspace.rs
+++ b/src/declare/workspace.rs
@@ -8,7 +8,7 @@
 
 /// How many requests a workspace may make, over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limit {
+pub struct RateLimit {
     /// Requests a second.
     pub rate: Rate,
     /// Requests at once, on top.
@@ -24,7 +24,7 @@
     pub keys: Vec<KeyDigest>,
     /// How many requests it may make; any number if not given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub limit: Option<Limit>,
+    pub limit: Option<RateLimit>,
     /// Classes that its requests have in place of others.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub classes: BTreeMap<ClassName, ClassName>,
@@ -63,7 +63,7 @@
     }
 
     /// Returns the workspace that a key belongs to.
-    pub fn of(&self, key: &KeyDigest) -> Option<&Workspace> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Workspace> {
         self.by_key.get(key).map(|place| &self.all[*place])
     }
 
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{BackendServer, Behaviour, Network, Onward, Relay, Zone, free_address_on};
-use crate::config::{Config, Listen, LogFormat, LogLevel};
+use crate::config::{Config, ListenAddresses, LogFormat, LogLevel};
 use crate::daemon::Daemon;
 use crate::declare::{Estate, load, split};
 use crate::error::Error;
@@ -201,7 +201,7 @@
             centre: centre.clone(),
             hall: hall.clone(),
             service: service.clone(),
-            listen: Listen {
+            listen: ListenAddresses {
                 callers: free_address_on(ip)?,
                 peers,
                 advertised,
@@ -217,12 +217,12 @@
             metrics: None,
             front: FrontMode::default(),
             workers: 1,
-            ahead: 1,
-            fair: false,
+            max_pipelined: 1,
+            fair_sharing: false,
             grace: PositiveDuration::from_millis(10_000),
-            open: false,
-            level: LogLevel::Warn,
-            format: LogFormat::Text,
+            remote_operators: false,
+            log_level: LogLevel::Warn,
+            log_format: LogFormat::Text,
         })
     }
 
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -10,7 +10,7 @@
 use super::rejection::{Rejection, reject};
 use super::route_match::{RouteMatch, match_request};
 use crate::call::{CallHead, OnceCall, Reason, RequestInfo, RequestOrigin};
-use crate::declare::{Class, Estate, Limit, Service, Workspace};
+use crate::declare::{Class, Estate, RateLimit, Service, Workspace};
 use crate::model::{
     AttemptId, CallerName, ClassRank, Depth, OnceKey, Priority, Retries, RootId, ServiceName,
     WorkspaceId, WorkspaceName,
@@ -49,7 +49,7 @@
 pub(super) struct CallerWorkspace {
     pub(super) name: WorkspaceName,
     /// The rate limit of the workspace, if it has one.
-    pub(super) limit: Option<Limit>,
+    pub(super) limit: Option<RateLimit>,
 }
 
 /// Reads a request whose head was complete at `arrived_at`, by the configuration
@@ -133,7 +133,9 @@
         safety,
         max_retries: matched.max_retries(class),
         max_servers: matched.max_servers(class),
-        is_protected: estate.protected().is_some_and(|last| rank <= last),
+        is_protected: estate
+            .last_protected_rank()
+            .is_some_and(|last| rank <= last),
         attempt_number: facts.attempt,
         caller,
         workspace: workspace.map(|workspace| CallerWorkspace {
@@ -170,7 +172,7 @@
         let detail = "send the API key of a workspace";
         return Err(reject(Reason::UnknownKey, detail));
     };
-    match workspaces.of(key) {
+    match workspaces.find_by_key(key) {
         Some(workspace) => Ok(Some(workspace)),
         None => Err(reject(Reason::UnknownKey, "no workspace has this key")),
     }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -20,7 +20,7 @@
 use super::route_match::request_host;
 use crate::call::{Attempt, Reason, Refusal};
 use crate::guard::Guard;
-use crate::metrics::Ending;
+use crate::metrics::CallStatus;
 use crate::model::{
     CallId, CallerName, Fingerprint, OnceKey, RequestContent, ServiceName, Verdict,
 };
@@ -146,9 +146,13 @@
         let shared = &self.context.shared;
         let reason = refusal.reason().as_str();
         shared.metrics.count_reason("rejected", reason);
-        shared
-            .metrics
-            .ended(OTHER_LABEL, OTHER_LABEL, Ending::Failed, Duration::ZERO, 0);
+        shared.metrics.record_call(
+            OTHER_LABEL,
+            OTHER_LABEL,
+            CallStatus::Failed,
+            Duration::ZERO,
+            0,
+        );
         if shared.log_limiter.try_take() {
             spdlog::info!("request rejected", kv: {
                 request = id,
@@ -266,9 +270,9 @@
 
     fn record_metrics(&self, accepted: &AcceptedRequest, outcome: &CallOutcome, latency: Duration) {
         let ending = match &outcome.result {
-            Ok(_) => Ending::Whole,
-            Err(refusal) if matches!(refusal.reason(), Reason::Shed(_)) => Ending::Shed,
-            Err(_) => Ending::Failed,
+            Ok(_) => CallStatus::Complete,
+            Err(refusal) if matches!(refusal.reason(), Reason::Shed(_)) => CallStatus::Shed,
+            Err(_) => CallStatus::Failed,
         };
         let metrics = &self.context.shared.metrics;
         if let Err(refusal) = &outcome.result {
@@ -279,7 +283,7 @@
         }
         let class = accepted.head.class.as_str();
         let caller = accepted.caller.as_ref().map_or(OTHER_LABEL, |c| c.as_str());
-        metrics.ended(class, caller, ending, latency, outcome.retries);
+        metrics.record_call(class, caller, ending, latency, outcome.retries);
     }
 
     /// Logs a call that was refused or answered with a server error.
--- a/src/entry/rate.rs
+++ b/src/entry/rate.rs
@@ -5,7 +5,7 @@
 use super::accept::{AcceptedRequest, CallerWorkspace};
 use super::context::Context;
 use crate::call::{Attempt, Reason, Refusal};
-use crate::declare::Limit;
+use crate::declare::RateLimit;
 use crate::policy::rate::{CreditDecision, CreditQuery};
 use crate::tables::{WorkspaceCredit, add_jitter};
 use crate::task::query_credit;
@@ -72,7 +72,7 @@
     }
 }
 
-fn over_rate(limit: Limit, wait: std::time::Duration) -> Refusal {
+fn over_rate(limit: RateLimit, wait: std::time::Duration) -> Refusal {
     let detail = format!(
         "rate limit of {} with a burst of {} is exceeded",
         limit.rate, limit.burst
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -21,7 +21,7 @@
 /// Fails if the address cannot be bound.
 pub async fn serve_callers(entry: Arc<Entry>) -> Result<Listening, Error> {
     let config = &entry.context.shared.config;
-    let (address, ahead) = (config.listen.callers, config.ahead);
+    let (address, ahead) = (config.listen.callers, config.max_pipelined);
     listen_ahead(address, ahead, CallerService(entry)).await
 }
 
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -92,21 +92,21 @@
             return;
         };
         let estate = &in_force.estate;
-        self.gate.reload(self.slots(), estate.protected());
+        self.gate.reload(self.slots(), estate.last_protected_rank());
         let sharing = estate
             .workspaces
             .as_ref()
-            .filter(|_| self.shared.config.fair);
+            .filter(|_| self.shared.config.fair_sharing);
         self.gate.set_weights(sharing.map(weights));
         self.once.set_limits(LedgerLimits {
             bytes: estate.once.ledger_bytes.get() as usize,
-            retention: estate.once.memory.get(),
+            retention: estate.once.retention.get(),
         });
     }
 
     pub(super) fn protected(&self) -> Option<ClassRank> {
         let in_force = self.shared.current.get()?;
-        in_force.estate.protected()
+        in_force.estate.last_protected_rank()
     }
 
     pub(super) fn slots(&self) -> Slots {
--- a/src/metrics/histogram.rs
+++ b/src/metrics/histogram.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use super::Ending;
+use super::CallStatus;
 
 /// Longest latency that is told apart, in microseconds.
 const MAX_US: u64 = 120_000_000;
@@ -27,7 +27,7 @@
 
 struct Cell {
     latency: Option<Histogram<u64>>,
-    whole: u64,
+    complete: u64,
     shed: u64,
     failed: u64,
     retries: u64,
@@ -37,7 +37,7 @@
     fn new() -> Self {
         Self {
             latency: Histogram::new_with_bounds(1, MAX_US, 2).ok(),
-            whole: 0,
+            complete: 0,
             shed: 0,
             failed: 0,
             retries: 0,
@@ -47,11 +47,12 @@
 
 /// The figures of one class or caller since the daemon started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct MetricsRow {
     /// The class or caller.
     pub name: Box<str>,
     /// Calls answered whole.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub complete: u64,
     /// Calls shed.
     pub shed: u64,
     /// Calls that failed in another way.
@@ -68,13 +69,13 @@
 
 /// Figures by name, bounded in number whatever callers send.
 #[derive(Default)]
-pub struct Table {
+pub struct MetricsTable {
     cells: Mutex<BTreeMap<Box<str>, Cell>>,
 }
 
-impl Table {
+impl MetricsTable {
     /// Counts a call that ended.
-    pub fn record(&self, name: &str, ending: Ending, latency: Duration, retries: u32) {
+    pub fn record(&self, name: &str, status: CallStatus, latency: Duration, retries: u32) {
         let mut cells = self.cells.lock();
         let name = if cells.contains_key(name) || cells.len() < MAX_ROWS {
             name
@@ -88,27 +89,27 @@
             return;
         };
         cell.retries += u64::from(retries);
-        match ending {
-            Ending::Whole => {
-                cell.whole += 1;
+        match status {
+            CallStatus::Complete => {
+                cell.complete += 1;
                 let us = u64::try_from(latency.as_micros()).unwrap_or(MAX_US);
                 if let Some(histogram) = &mut cell.latency {
                     histogram.saturating_record(us.clamp(1, MAX_US));
                 }
             }
-            Ending::Shed => cell.shed += 1,
-            Ending::Failed => cell.failed += 1,
+            CallStatus::Shed => cell.shed += 1,
+            CallStatus::Failed => cell.failed += 1,
         }
     }
 
     /// Returns all rows.
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn rows(&self) -> Vec<MetricsRow> {
         self.cells
             .lock()
             .iter()
-            .map(|(name, cell)| Row {
+            .map(|(name, cell)| MetricsRow {
                 name: name.clone(),
-                whole: cell.whole,
+                complete: cell.complete,
                 shed: cell.shed,
                 failed: cell.failed,
                 retries: cell.retries,
--- a/src/metrics/metric.rs
+++ b/src/metrics/metric.rs
@@ -5,7 +5,7 @@
 
 use cadence::{BufferedUdpMetricSink, Counted, QueuingMetricSink, StatsdClient, Timed};
 
-use super::{Group, Row, Table};
+use super::{Group, MetricsRow, MetricsTable};
 use crate::error::Error;
 
 /// What all names begin with.
@@ -15,19 +15,19 @@
 
 /// How a call ended at the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CallStatus {
     /// With the backend server's whole answer.
-    Whole,
+    Complete,
     /// It was shed.
     Shed,
     /// In any other way.
     Failed,
 }
 
-impl Ending {
+impl CallStatus {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Shed => "shed",
             Self::Failed => "failed",
         }
@@ -38,8 +38,8 @@
 pub struct Metrics {
     /// Set if there is an address to send to; no line is made up otherwise.
     client: Option<StatsdClient>,
-    classes: Table,
-    callers: Table,
+    classes: MetricsTable,
+    callers: MetricsTable,
 }
 
 impl Metrics {
@@ -63,22 +63,22 @@
         };
         Ok(Self {
             client,
-            classes: Table::default(),
-            callers: Table::default(),
+            classes: MetricsTable::default(),
+            callers: MetricsTable::default(),
         })
     }
 
     /// Counts a call that ended at the entry.
-    pub fn ended(
+    pub fn record_call(
         &self,
         class: &str,
         caller: &str,
-        ending: Ending,
+        status: CallStatus,
         latency: Duration,
         retries: u32,
     ) {
-        self.classes.record(class, ending, latency, retries);
-        self.callers.record(caller, ending, latency, retries);
+        self.classes.record(class, status, latency, retries);
+        self.callers.record(caller, status, latency, retries);
         let Some(client) = &self.client else {
             return;
         };
@@ -86,9 +86,9 @@
             .count_with_tags("calls", 1)
             .with_tag("class", class)
             .with_tag("caller", caller)
-            .with_tag("ending", ending.as_str())
+            .with_tag("ending", status.as_str())
             .send();
-        if ending == Ending::Whole {
+        if status == CallStatus::Complete {
             client
                 .time_with_tags("latency", latency)
                 .with_tag("class", class)
@@ -115,7 +115,7 @@
     }
 
     /// Returns the histograms of a group.
-    pub fn rows(&self, group: Group) -> Vec<Row> {
+    pub fn rows(&self, group: Group) -> Vec<MetricsRow> {
         match group {
             Group::Class => self.classes.rows(),
             Group::Caller => self.callers.rows(),
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -5,7 +5,7 @@
 mod page;
 mod workspaces;
 
-pub use histogram::{Group, Row, Table};
-pub use metric::{Ending, Metrics};
-pub use page::{Gauges, NAMES, page};
-pub use workspaces::{WORKSPACE_NAMES, WorkspaceRow, workspaces};
+pub use histogram::{Group, MetricsRow, MetricsTable};
+pub use metric::{CallStatus, Metrics};
+pub use page::{Gauges, METRIC_NAMES, metrics_page};
+pub use workspaces::{WORKSPACE_NAMES, WorkspaceRow, workspace_page};
--- a/src/metrics/page.rs
+++ b/src/metrics/page.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Write;
 
-use super::Row;
+use super::MetricsRow;
 use crate::model::Rate;
 
 /// The names of all figures, with unit and meaning.
-pub const NAMES: [(&str, &str); 8] = [
+pub const METRIC_NAMES: [(&str, &str); 8] = [
     (
         "bramleymount_calls_total",
         "calls that ended at the entry, by class and ending",
@@ -50,9 +50,9 @@
 }
 
 /// Writes the page.
-pub fn page(rows: &[Row], gauges: Gauges) -> String {
+pub fn metrics_page(rows: &[MetricsRow], gauges: Gauges) -> String {
     let mut text = String::new();
-    for (place, (name, meaning)) in NAMES.iter().enumerate() {
+    for (place, (name, meaning)) in METRIC_NAMES.iter().enumerate() {
         let kind = if place < 2 { "counter" } else { "gauge" };
         // Writing to a string cannot fail.
         let _ = writeln!(text, "# HELP {name} {meaning}\n# TYPE {name} {kind}");
@@ -78,9 +78,9 @@
     let _ = writeln!(text, "{name} {value}");
 }
 
-fn calls(text: &mut String, name: &str, row: &Row) {
+fn calls(text: &mut String, name: &str, row: &MetricsRow) {
     let endings = [
-        ("whole", row.whole),
+        ("whole", row.complete),
         ("shed", row.shed),
         ("failed", row.failed),
     ];
@@ -93,7 +93,7 @@
     }
 }
 
-fn latency(text: &mut String, name: &str, row: &Row) {
+fn latency(text: &mut String, name: &str, row: &MetricsRow) {
     let quantiles = [("0.5", row.p50_us), ("0.99", row.p99_us), ("1", row.max_us)];
     for (quantile, value) in quantiles {
         let class = &row.name;
--- a/src/metrics/workspaces.rs
+++ b/src/metrics/workspaces.rs
@@ -27,7 +27,7 @@
 }
 
 /// Writes the figures by workspace; nothing if there are none.
-pub fn workspaces(rows: &[WorkspaceRow]) -> String {
+pub fn workspace_page(rows: &[WorkspaceRow]) -> String {
     let mut text = String::new();
     if rows.is_empty() {
         return text;
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -41,9 +41,9 @@
     accept(shared, request, condition, current).await
 }
 
-fn refused(why: impl Into<Box<str>>) -> ApplyResult {
+fn refused(reason: impl Into<Box<str>>) -> ApplyResult {
     ApplyResult::Refused {
-        why: why.into(),
+        reason: reason.into(),
         current: None,
         changes: Vec::new(),
     }
@@ -84,7 +84,7 @@
     };
     let changes: Vec<Box<str>> = changes.iter().map(|c| c.to_string().into()).collect();
     ApplyResult::Refused {
-        why: format!(
+        reason: format!(
             "version {} was applied since version {}; look at its changes and apply again with \
              --base {}",
             current.version, request.base, current.version
@@ -152,8 +152,8 @@
             ApplyResult::Accepted { version }
         }
         Settled::Lost(_) => refused("another operator was quicker; look at bramleyctl diff"),
-        Settled::NotSent(why) => refused(format!("the platform cannot be reached: {why}")),
-        Settled::Unsettled(why) => ApplyResult::Unknown { why },
+        Settled::NotSent(reason) => refused(format!("the platform cannot be reached: {reason}")),
+        Settled::Unsettled(reason) => ApplyResult::Unknown { reason },
     }
 }
 
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::declare::{Document, DocumentName, Hash};
-use crate::metrics::Row;
+use crate::metrics::MetricsRow;
 use crate::model::{CentreName, Instance, ServiceName, Version};
 use crate::policy::member::MemberState;
 
@@ -32,7 +32,8 @@
     /// It is not accepted and never will be.
     Refused {
         /// Why.
-        why: Box<str>,
+        #[serde(rename = "why")]
+        reason: Box<str>,
         /// The version that stands in its place, if another was quicker.
         current: Option<Version>,
         /// What the other operator changed.
@@ -41,7 +42,8 @@
     /// It may have been accepted; asking again settles it.
     Unknown {
         /// Why.
-        why: Box<str>,
+        #[serde(rename = "why")]
+        reason: Box<str>,
     },
 }
 
@@ -73,7 +75,7 @@
 
 /// One member as a daemon knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct MemberLine {
+pub struct MemberStatus {
     /// Its instance.
     pub instance: Instance,
     /// Its data centre.
@@ -86,8 +88,8 @@
     pub version: Option<Version>,
     /// What its answers take now as a multiple of its service's mean, as the
     /// daemon that was asked has learned it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub pace: Option<f64>,
+    #[serde(rename = "pace", default, skip_serializing_if = "Option::is_none")]
+    pub latency_ratio: Option<f64>,
 }
 
 /// What a daemon says of itself and of the others.
@@ -104,7 +106,7 @@
     /// Connections to other daemons.
     pub connections: usize,
     /// All members that it knows.
-    pub members: Vec<MemberLine>,
+    pub members: Vec<MemberStatus>,
 }
 
 /// Figures per class and per caller.
@@ -113,15 +115,15 @@
     /// Calls at the backend server, calls that wait, and the limit.
     pub load: (usize, usize, usize),
     /// By class.
-    pub classes: Vec<Row>,
+    pub classes: Vec<MetricsRow>,
     /// By caller.
-    pub callers: Vec<Row>,
+    pub callers: Vec<MetricsRow>,
 }
 
 /// What a backend server says when it announces itself.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Announce {
+pub struct AnnounceRequest {
     /// Whether it has just started and is still cold.
     #[serde(default)]
     pub cold: bool,
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -7,7 +7,7 @@
 
 pub use apply::apply;
 pub use message::{
-    Announce, ApplyRequest, ApplyResult, ConfigAnswer, HistoryEntry, MemberLine, StatusAnswer,
-    TicketAnswer, TopAnswer,
+    AnnounceRequest, ApplyRequest, ApplyResult, ConfigAnswer, HistoryEntry, MemberStatus,
+    StatusAnswer, TicketAnswer, TopAnswer,
 };
-pub use server::{Operator, serve_operators};
+pub use server::{OperatorService, serve_operators};
--- a/src/operator/page.rs
+++ b/src/operator/page.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::metrics::Row;
+use crate::metrics::MetricsRow;
 
 use super::TopAnswer;
 
@@ -25,7 +25,7 @@
     page
 }
 
-fn table(page: &mut String, title: &str, rows: &[Row]) {
+fn table(page: &mut String, title: &str, rows: &[MetricsRow]) {
     let _ = write!(
         page,
         "<table><tr><th>{title}</th><th>whole</th><th>shed</th><th>failed</th><th>retries</th>\
@@ -38,7 +38,7 @@
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.2}</td>\
              <td>{:.2}</td><td>{:.2}</td></tr>",
             row.name,
-            row.whole,
+            row.complete,
             row.shed,
             row.failed,
             row.retries,
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -11,8 +11,8 @@
 
 use super::page::page;
 use super::{
-    Announce, ApplyRequest, ConfigAnswer, HistoryEntry, MemberLine, StatusAnswer, TicketAnswer,
-    TopAnswer, apply,
+    AnnounceRequest, ApplyRequest, ConfigAnswer, HistoryEntry, MemberStatus, StatusAnswer,
+    TicketAnswer, TopAnswer, apply,
 };
 use crate::declare::{Hash, Manifest};
 use crate::entry::Entry;
@@ -37,7 +37,7 @@
 
 /// What the operators' interface works on.
 #[derive(Clone)]
-pub struct Operator {
+pub struct OperatorService {
     /// The shared tables.
     pub shared: Arc<Shared>,
     /// The guard.
@@ -48,7 +48,7 @@
     pub pool: Arc<Pool>,
 }
 
-impl Operator {
+impl OperatorService {
     async fn handle(self, request: HttpRequest) -> HttpResponse {
         let (head, ext) = request.into_parts();
         let (_, body) = ext.replace_body(());
@@ -99,21 +99,21 @@
     }
 
     /// Tells of one member; asks it which version it runs, if it runs.
-    async fn line(&self, member: Member) -> MemberLine {
+    async fn line(&self, member: Member) -> MemberStatus {
         let version = match member.instance {
             own if own == self.shared.instance => Some(self.shared.current.version()),
             _ if member.state >= MemberState::Silent => None,
             other => query_version(&self.shared, &self.pool, other).await,
         };
         let table = self.shared.targets.table(&member.service);
-        let pace = table.lock().latency_ratio(Instant::now(), member.instance);
-        MemberLine {
+        let latency_ratio = table.lock().latency_ratio(Instant::now(), member.instance);
+        MemberStatus {
             instance: member.instance,
             centre: member.centre,
             service: member.service,
             state: member.state,
             version,
-            pace,
+            latency_ratio,
         }
     }
 
@@ -221,7 +221,7 @@
     }
 
     async fn announce(&self, body: RequestBody) -> HttpResponse {
-        match read::<Announce>(body).await {
+        match read::<AnnounceRequest>(body).await {
             Ok(announce) => {
                 self.guard.renew_lease(announce.cold);
                 answer_text(StatusCode::OK, "announced\n")
@@ -274,7 +274,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve_operators(operator: Operator) -> Result<Running, Error> {
+pub fn serve_operators(operator: OperatorService) -> Result<Running, Error> {
     let address = operator.shared.config.listen.operators;
     serve(address, 1, move |request| operator.clone().handle(request))
 }
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -4,7 +4,9 @@
 
 use serde::Deserialize;
 
-use crate::declare::{Class, Estate, Limit, Once, Route, Service, Share, Workspace, Workspaces};
+use crate::declare::{
+    Class, Estate, OnceSettings, RateLimit, Route, Service, Share, Workspace, Workspaces,
+};
 use crate::error::Error;
 use crate::model::{
     Bytes, ClassName, ClassRank, Connections, KeyDigest, PositiveDuration, Rate, Retries,
@@ -22,9 +24,9 @@
 /// Deadline of a request that matches no route; it is refused anyway.
 const NO_ROUTE_DEADLINE: PositiveDuration = PositiveDuration::from_millis(1000);
 /// How keys would be kept; the platform's callers send none.
-const ONCE: Once = Once {
+const ONCE: OnceSettings = OnceSettings {
     horizon: PositiveDuration::from_millis(60_000),
-    memory: PositiveDuration::from_millis(24 * 3600 * 1000),
+    retention: PositiveDuration::from_millis(24 * 3600 * 1000),
     ledger_bytes: Bytes::new(1024 * 1024),
 };
 
@@ -260,9 +262,9 @@
     Some(Workspaces::new(all.collect()))
 }
 
-fn limit(entry: &WorkspaceEntry) -> Option<Limit> {
+fn limit(entry: &WorkspaceEntry) -> Option<RateLimit> {
     let is_limited = entry.rate.is_finite() && entry.rate > 0.0;
-    is_limited.then(|| Limit {
+    is_limited.then(|| RateLimit {
         rate: Rate::per_second(entry.rate),
         burst: entry.burst.clamp(0.0, 1e9) as u32,
     })
--- a/src/policy/rate/bucket.rs
+++ b/src/policy/rate/bucket.rs
@@ -8,7 +8,7 @@
 
 use super::RateTolerance;
 use super::arrival_rate::decay;
-use crate::declare::Limit;
+use crate::declare::RateLimit;
 
 /// How long granted credit may stay unused at a daemon. The coordinator counts it
 /// as outstanding a little longer, so that it never exists in both places.
@@ -95,7 +95,7 @@
         &mut self,
         now: Instant,
         tolerance: &RateTolerance,
-        limit: Limit,
+        limit: RateLimit,
         from: SocketAddr,
         query: CreditQuery,
     ) -> CreditGrant {
@@ -157,7 +157,7 @@
         &mut self,
         now: Instant,
         tolerance: &RateTolerance,
-        limit: Limit,
+        limit: RateLimit,
         balance: f64,
         requester: Option<DaemonCredit>,
     ) {
@@ -187,7 +187,7 @@
         &self,
         now: Instant,
         tolerance: &RateTolerance,
-        limit: Limit,
+        limit: RateLimit,
         shortage: f64,
     ) -> Duration {
         if shortage < 1.0 {
--- a/src/policy/rate/local_credit.rs
+++ b/src/policy/rate/local_credit.rs
@@ -10,7 +10,7 @@
     CreditGrant, CreditQuery, DISCONNECT_TIMEOUT, SHARE_DECAY_TIME, UNUSED_LIFETIME,
 };
 use super::{RateTolerance, Sharing};
-use crate::declare::Limit;
+use crate::declare::RateLimit;
 
 /// How long the credit of one grant should last, in seconds, and the fraction of
 /// it that may be left when more is requested.
@@ -117,7 +117,7 @@
         &mut self,
         now: Instant,
         tolerance: &RateTolerance,
-        limit: Limit,
+        limit: RateLimit,
         members: usize,
     ) -> CreditDecision {
         self.expire(now);
@@ -270,7 +270,7 @@
         &self,
         now: Instant,
         tolerance: &RateTolerance,
-        limit: Limit,
+        limit: RateLimit,
         members: usize,
     ) -> f64 {
         let rate = tolerance.rate(limit);
--- a/src/policy/rate/tolerance.rs
+++ b/src/policy/rate/tolerance.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Deserializer};
 
-use crate::declare::Limit;
+use crate::declare::RateLimit;
 use crate::error::Error;
 
 /// How the daemons of an estate share the rate of a workspace.
@@ -91,12 +91,12 @@
 
 impl RateTolerance {
     /// Returns the credit per second for a limit.
-    pub(super) fn rate(&self, limit: Limit) -> f64 {
+    pub(super) fn rate(&self, limit: RateLimit) -> f64 {
         limit.rate.get() * (1.0 + self.excess * RATE_FRACTION)
     }
 
     /// Returns the capacity for unused credit under a limit.
-    pub(super) fn capacity(&self, limit: Limit) -> f64 {
+    pub(super) fn capacity(&self, limit: RateLimit) -> f64 {
         let burst = f64::from(limit.burst) * (1.0 + self.excess);
         let in_window = limit.rate.get() * self.window.as_secs_f64();
         burst + CAPACITY_FRACTION * (in_window * self.excess + self.slack)
--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::declare::Limit;
+use crate::declare::RateLimit;
 use crate::model::WorkspaceName;
 use crate::policy::member::{ChangeCount, View};
 use crate::policy::rate::{
@@ -112,7 +112,7 @@
     pub fn try_take(
         &self,
         credit: &WorkspaceCredit,
-        limit: Limit,
+        limit: RateLimit,
         members: usize,
     ) -> CreditDecision {
         let mut local = credit.local.lock();
@@ -179,7 +179,7 @@
     pub fn grant(
         &self,
         workspace: &WorkspaceName,
-        limit: Limit,
+        limit: RateLimit,
         from: SocketAddr,
         query: CreditQuery,
     ) -> CreditGrant {
--- a/src/tables/targets.rs
+++ b/src/tables/targets.rs
@@ -60,7 +60,7 @@
     /// Fills the tables from the view of the estate.
     pub fn update(&self, estate: &Estate, view: &View) {
         let own = view.own().instance;
-        let by_time = self.balance.is_by_time(estate.ends_early());
+        let by_time = self.balance.is_by_time(estate.has_early_timeout());
         for service in estate.services.values() {
             let mut near = Vec::new();
             let mut far = Vec::new();
--- a/src/task/ownership.rs
+++ b/src/task/ownership.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::declare::Once;
+use crate::declare::OnceSettings;
 use crate::model::{Instance, ServiceName};
 use crate::policy::member::Budget;
 use crate::policy::once::{Horizon, OwnershipRow, plan_ownership};
@@ -52,7 +52,7 @@
     }
 }
 
-fn once_rules(shared: &Shared) -> Option<Once> {
+fn once_rules(shared: &Shared) -> Option<OnceSettings> {
     let in_force = shared.current.get()?;
     let estate = &in_force.estate;
     let service = estate.services.get(&shared.config.service)?;
@@ -69,11 +69,11 @@
 fn next_row(
     known: Option<&StoredOwnership>,
     live: &[Instance],
-    once: Once,
+    once: OnceSettings,
 ) -> Option<OwnershipRow> {
     let horizon = Horizon {
         ahead: once.horizon.get(),
-        retention: once.memory.get(),
+        retention: once.retention.get(),
     };
     let empty = OwnershipRow::default();
     let row = known.map_or(&empty, |stored| &*stored.row);
@@ -86,7 +86,7 @@
 }
 
 /// Writes the next state of the row; `None` if the platform does not answer.
-async fn extend(shared: &Shared, live: &[Instance], once: Once) -> Option<()> {
+async fn extend(shared: &Shared, live: &[Instance], once: OnceSettings) -> Option<()> {
     let service = &shared.config.service;
     let known = shared.ownership.get(service);
     let Some(row) = next_row(known.as_ref(), live, once) else {
--- a/tests/declare.rs
+++ b/tests/declare.rs
@@ -152,7 +152,7 @@
 fn config_shares_slots_only_where_asked(#[case] line: &str, #[case] fair: bool) {
     let text = format!("{SETTINGS}{line}");
     let config = Config::parse(Path::new("s.yaml"), text.as_bytes());
-    assert_eq!(config.unwrap_or_else(|e| panic!("{e}")).fair, fair);
+    assert_eq!(config.unwrap_or_else(|e| panic!("{e}")).fair_sharing, fair);
 }
 
 #[rstest]
--- a/tests/metrics_page.rs
+++ b/tests/metrics_page.rs
@@ -7,7 +7,8 @@
 
 use bramleymount::config::Config;
 use bramleymount::metrics::{
-    Ending, Gauges, Group, Metrics, NAMES, WORKSPACE_NAMES, WorkspaceRow, page, workspaces,
+    CallStatus, Gauges, Group, METRIC_NAMES, Metrics, WORKSPACE_NAMES, WorkspaceRow, metrics_page,
+    workspace_page,
 };
 use bramleymount::model::Rate;
 
@@ -20,14 +21,14 @@
 fn page_gives_figures_by_class() {
     let metrics = Metrics::new(None).expect("metrics");
     let latency = Duration::from_millis(20);
-    metrics.ended("rank-0", "other", Ending::Whole, latency, 1);
-    metrics.ended("rank-0", "other", Ending::Shed, latency, 0);
+    metrics.record_call("rank-0", "other", CallStatus::Complete, latency, 1);
+    metrics.record_call("rank-0", "other", CallStatus::Shed, latency, 0);
     let gauges = Gauges {
         load: (3, 2, 27),
         rate: Some(Rate::per_second(21.9)),
         version: 7,
     };
-    let text = page(&metrics.rows(Group::Class), gauges);
+    let text = metrics_page(&metrics.rows(Group::Class), gauges);
     for line in [
         "bramleymount_calls_total{class=\"rank-0\",ending=\"whole\"} 1",
         "bramleymount_calls_total{class=\"rank-0\",ending=\"shed\"} 1",
@@ -47,7 +48,13 @@
     let metrics = Metrics::new(None).expect("metrics");
     for n in 0..1000 {
         let name = format!("class-{n}");
-        metrics.ended(&name, "other", Ending::Whole, Duration::from_millis(1), 0);
+        metrics.record_call(
+            &name,
+            "other",
+            CallStatus::Complete,
+            Duration::from_millis(1),
+            0,
+        );
     }
     assert!(metrics.rows(Group::Class).len() <= 257);
 }
@@ -55,7 +62,7 @@
 #[test]
 fn page_names_are_those_of_the_operators_page() {
     let text = read("docs/operate/metrics.md");
-    for (name, _) in NAMES {
+    for (name, _) in METRIC_NAMES {
         assert!(
             text.contains(name),
             "{name} is not in docs/operate/metrics.md"
@@ -95,10 +102,13 @@
     assert_eq!(config.neighbours, [seed]);
     let hosting = config.hosting.expect("hosting");
     assert_eq!(hosting.metrics.expect("an address").port(), 7635);
-    assert_eq!(hosting.repeats.share, 0.25);
-    assert_eq!(hosting.repeats.window, Duration::from_millis(7500));
-    assert_eq!(hosting.rates.window, Duration::from_secs(5));
-    assert_eq!((hosting.rates.excess, hosting.rates.slack), (0.1, 20.0));
+    assert_eq!(hosting.retry_allowance.share, 0.25);
+    assert_eq!(hosting.retry_allowance.window, Duration::from_millis(7500));
+    assert_eq!(hosting.rate_tolerance.window, Duration::from_secs(5));
+    assert_eq!(
+        (hosting.rate_tolerance.excess, hosting.rate_tolerance.slack),
+        (0.1, 20.0)
+    );
     assert_eq!(config.grace.get(), Duration::from_secs(6));
 }
 
@@ -109,14 +119,14 @@
         time: Duration::from_millis(1500),
         shed: 3,
     };
-    let text = workspaces(&[row]);
+    let text = workspace_page(&[row]);
     for line in [
         "bramleymount_workspace_slot_milliseconds_total{workspace=\"no\\\"rth\"} 1500",
         "bramleymount_workspace_shed_total{workspace=\"no\\\"rth\"} 3",
     ] {
         assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
     }
-    assert_eq!(workspaces(&[]), "");
+    assert_eq!(workspace_page(&[]), "");
     let operators = read("docs/operate/metrics.md");
     assert!(
         WORKSPACE_NAMES
--- a/tests/rates/world.rs
+++ b/tests/rates/world.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bramleymount::declare::Limit;
+use bramleymount::declare::RateLimit;
 use bramleymount::model::Rate;
 use bramleymount::policy::rate::{
     CreditBucket, CreditDecision, CreditGrant, CreditQuery, LocalCredit, RateTolerance, Sharing,
@@ -32,8 +32,8 @@
     }
 }
 
-pub(crate) fn limit(rate: f64, burst: u32) -> Limit {
-    Limit {
+pub(crate) fn limit(rate: f64, burst: u32) -> RateLimit {
+    RateLimit {
         rate: Rate::per_second(rate),
         burst,
     }
@@ -63,7 +63,7 @@
 
 /// The emulated estate.
 pub(crate) struct World {
-    pub(crate) limit: Limit,
+    pub(crate) limit: RateLimit,
     pub(crate) tolerance: RateTolerance,
     daemons: Vec<Daemon>,
     bucket: CreditBucket,
@@ -81,7 +81,7 @@
 }
 
 impl World {
-    pub(crate) fn new(daemons: usize, limit: Limit, sharing: Sharing, seed: u64) -> Self {
+    pub(crate) fn new(daemons: usize, limit: RateLimit, sharing: Sharing, seed: u64) -> Self {
         let start = Instant::now();
         let tolerance = tolerance(sharing);
         let daemon = |_| Daemon {
--- a/tests/uneven_servers.rs
+++ b/tests/uneven_servers.rs
@@ -426,7 +426,7 @@
     #[case] timeout: u64,
     #[case] by_time: bool,
 ) {
-    let ends_early = estate(timeout).ends_early();
+    let ends_early = estate(timeout).has_early_timeout();
     assert_eq!(balance.is_by_time(ends_early), by_time);
 }
 
--- a/tests/version_news.rs
+++ b/tests/version_news.rs
@@ -64,7 +64,7 @@
     wait_version(&[&one, &other], 9).await;
     eventually("all versions", || async {
         let told = status(&one).await;
-        let of = |m: &bramleymount::operator::MemberLine| m.version == Some(Version::new(9));
+        let of = |m: &bramleymount::operator::MemberStatus| m.version == Some(Version::new(9));
         (told.members.len() == 2 && told.members.iter().all(of)).then_some(())
     })
     .await;
--- a/tests/workspace_rules.rs
+++ b/tests/workspace_rules.rs
@@ -36,7 +36,7 @@
     }
     assert!(!format!("{estate:?}").contains("secret"));
     let workspaces = estate.workspaces.as_ref().expect("workspaces");
-    let of = |key: &str| workspaces.of(&KeyDigest::of(key.as_bytes()));
+    let of = |key: &str| workspaces.find_by_key(&KeyDigest::of(key.as_bytes()));
     let name = |key: &str| of(key).map(|found| found.name.as_str());
     assert_eq!(name("secret-2"), Some("north"));
     assert_eq!(name("secret-3"), Some("south"));
