--- a/src/declare/check.rs
+++ b/src/declare/check.rs
@@ -1,4 +1,4 @@
-//! Checks that make an estate of declarations, or say what is wrong.
+//! Validation of declarations and construction of the estate.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 use super::{Class, Estate, OnceSettings};
 use crate::model::ClassName;
 
-/// The two files that are checked together.
+/// Validates the inventory and the rules, and collects the errors found in both files.
 pub(super) struct Checker<'a> {
     pub(super) inventory_file: &'a Path,
     pub(super) rules_file: &'a Path,
@@ -18,19 +18,23 @@
 }
 
 impl Checker<'_> {
-    /// Makes an estate of an inventory and rules.
-    pub(super) fn estate(mut self, inventory: &Inventory, rules: &Rules) -> Result<Estate, Errors> {
-        let centres = self.centres(&inventory.data_centres);
-        let mut services = self.services(&inventory.services, &centres);
-        self.cycles(&inventory.services);
-        let classes = self.classes(&rules.classes);
-        self.work(&rules.work, &mut services, &classes);
-        let routes = self.routes(&rules.routes, &services, &classes);
-        let callers = self.callers(&rules.callers, &classes);
+    /// Builds the estate from the inventory and the rules.
+    pub(super) fn build_estate(
+        mut self,
+        inventory: &Inventory,
+        rules: &Rules,
+    ) -> Result<Estate, Errors> {
+        let centres = self.check_centres(&inventory.data_centres);
+        let mut services = self.check_services(&inventory.services, &centres);
+        self.check_cycles(&inventory.services);
+        let classes = self.check_classes(&rules.classes);
+        self.assign_work(&rules.work, &mut services, &classes);
+        let routes = self.check_routes(&rules.routes, &services, &classes);
+        let callers = self.check_callers(&rules.callers, &classes);
         let workspaces = rules
             .workspaces
             .as_ref()
-            .map(|entries| self.workspaces(entries, &classes));
+            .map(|entries| self.check_workspaces(entries, &classes));
         let once = OnceSettings {
             horizon: rules.once.horizon,
             retention: rules.once.retention,
@@ -47,15 +51,15 @@
         })
     }
 
-    pub(super) fn inventory<T>(&mut self, at: &Spanned<T>, message: String) {
+    pub(super) fn inventory_error<T>(&mut self, at: &Spanned<T>, message: String) {
         self.errors.push_at(self.inventory_file, at, message);
     }
 
-    pub(super) fn rules<T>(&mut self, at: &Spanned<T>, message: String) {
+    pub(super) fn rules_error<T>(&mut self, at: &Spanned<T>, message: String) {
         self.errors.push_at(self.rules_file, at, message);
     }
 
-    pub(super) fn known_class(&mut self, name: &Spanned<ClassName>, classes: &[Class]) {
+    pub(super) fn check_class(&mut self, name: &Spanned<ClassName>, classes: &[Class]) {
         if classes.iter().any(|c| c.name == name.value) {
             return;
         }
@@ -65,6 +69,6 @@
             name.value,
             known.join(", ")
         );
-        self.rules(name, message);
+        self.rules_error(name, message);
     }
 }
--- a/src/declare/check_inventory.rs
+++ b/src/declare/check_inventory.rs
@@ -1,4 +1,4 @@
-//! Checks of the inventory: data centres, services and what they depend on.
+//! Validation of the inventory: data centres, services and their dependencies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,24 @@
 use super::{Centre, Placement, Service};
 use crate::model::{CentreName, ServiceName};
 
-/// Most services of an estate.
+/// Maximum number of services in an estate.
 const MAX_SERVICES: usize = 4096;
-/// Most servers of one service in one hall.
-const MAX_COUNT: u32 = 10_000;
+/// Maximum number of servers of one service in one hall.
+const MAX_SERVERS: u32 = 10_000;
 
 impl Checker<'_> {
-    pub(super) fn centres(&mut self, entries: &[CentreEntry]) -> Vec<Centre> {
+    pub(super) fn check_centres(&mut self, entries: &[CentreEntry]) -> Vec<Centre> {
         let mut seen = BTreeSet::new();
         for entry in entries {
             let name = &entry.name.value;
             if !seen.insert(name) {
-                self.inventory(&entry.name, format!("data centre {name} stands twice"));
+                self.inventory_error(&entry.name, format!("data centre {name} is declared twice"));
             }
             let mut halls = BTreeSet::new();
             for hall in &entry.halls {
                 if !halls.insert(&hall.value) {
-                    let message = format!("hall {} of {name} stands twice", hall.value);
-                    self.inventory(hall, message);
+                    let message = format!("hall {} of {name} is declared twice", hall.value);
+                    self.inventory_error(hall, message);
                 }
             }
         }
@@ -38,7 +38,7 @@
             .collect()
     }
 
-    pub(super) fn services(
+    pub(super) fn check_services(
         &mut self,
         entries: &[ServiceEntry],
         centres: &[Centre],
@@ -47,35 +47,35 @@
         let names: BTreeSet<&ServiceName> = entries.iter().map(|e| &e.name.value).collect();
         if entries.len() > MAX_SERVICES {
             let message = format!("at most {MAX_SERVICES} services may be declared");
-            self.inventory(&entries[MAX_SERVICES].name, message);
+            self.inventory_error(&entries[MAX_SERVICES].name, message);
         }
         for entry in entries {
             let name = &entry.name.value;
             for other in entry.depends.iter().filter(|d| !names.contains(&d.value)) {
                 let message = format!(
-                    "{name} depends on {}, which is no service here; declare it or remove the line",
+                    "{name} depends on {}, which is not declared; declare it or remove the line",
                     other.value
                 );
-                self.inventory(other, message);
+                self.inventory_error(other, message);
             }
             let service = Service {
                 name: name.clone(),
                 slots: entry.slots,
                 connections: entry.connections,
                 depends: entry.depends.iter().map(|d| d.value.clone()).collect(),
-                servers: self.placements(&entry.servers, centres),
+                servers: self.check_placements(&entry.servers, centres),
                 work: Vec::new(),
             };
             if services.insert(name.clone(), service).is_some() {
-                self.inventory(&entry.name, format!("service {name} stands twice"));
+                self.inventory_error(&entry.name, format!("service {name} is declared twice"));
             }
         }
         services
     }
 
-    fn placements(&mut self, entries: &[ServerEntry], centres: &[Centre]) -> Vec<Placement> {
+    fn check_placements(&mut self, entries: &[ServerEntry], centres: &[Centre]) -> Vec<Placement> {
         for entry in entries {
-            self.placement(entry, centres);
+            self.check_placement(entry, centres);
         }
         entries
             .iter()
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    fn placement(&mut self, entry: &ServerEntry, centres: &[Centre]) {
+    fn check_placement(&mut self, entry: &ServerEntry, centres: &[Centre]) {
         let name: &CentreName = &entry.data_centre.value;
         match centres.iter().find(|c| c.name == *name) {
             None => {
@@ -96,25 +96,25 @@
                     "data centre {name} is not declared; known are {}",
                     known.join(", ")
                 );
-                self.inventory(&entry.data_centre, message);
+                self.inventory_error(&entry.data_centre, message);
             }
             Some(centre) if !centre.halls.contains(&entry.hall.value) => {
                 let message = format!("data centre {name} has no hall {}", entry.hall.value);
-                self.inventory(&entry.hall, message);
+                self.inventory_error(&entry.hall, message);
             }
             Some(_) => {}
         }
-        if entry.count.value == 0 || entry.count.value > MAX_COUNT {
+        if entry.count.value == 0 || entry.count.value > MAX_SERVERS {
             let message = format!(
-                "count is {}; write a number from 1 to {MAX_COUNT}",
+                "count is {}; write a number from 1 to {MAX_SERVERS}",
                 entry.count.value
             );
-            self.inventory(&entry.count, message);
+            self.inventory_error(&entry.count, message);
         }
     }
 
-    /// Refuses dependency cycles, naming one way round each.
-    pub(super) fn cycles(&mut self, entries: &[ServiceEntry]) {
+    /// Rejects dependency cycles; each error names one path through the cycle.
+    pub(super) fn check_cycles(&mut self, entries: &[ServiceEntry]) {
         let by_name: BTreeMap<&ServiceName, &ServiceEntry> =
             entries.iter().map(|e| (&e.name.value, e)).collect();
         let mut done = BTreeSet::new();
@@ -141,13 +141,13 @@
         for next in &entry.depends {
             match path.iter().position(|seen| **seen == next.value) {
                 Some(start) => {
-                    let mut round: Vec<&str> = path[start..].iter().map(|n| n.as_str()).collect();
-                    round.push(next.value.as_str());
+                    let mut cycle: Vec<&str> = path[start..].iter().map(|n| n.as_str()).collect();
+                    cycle.push(next.value.as_str());
                     let message = format!(
-                        "services depend on each other in a circle: {}; remove one of these",
-                        round.join(" -> ")
+                        "services depend on each other in a cycle: {}; remove one of these dependencies",
+                        cycle.join(" -> ")
                     );
-                    self.inventory(next, message);
+                    self.inventory_error(next, message);
                 }
                 None => self.visit(&next.value, by_name, path, done),
             }
--- a/src/declare/check_rules.rs
+++ b/src/declare/check_rules.rs
@@ -1,4 +1,4 @@
-//! Checks of the rules: classes, work, routes and callers.
+//! Validation of the rules: classes, work, routes and callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,40 +7,40 @@
 use super::{Caller, Class, Route, Service, Share, WorkRule};
 use crate::model::{ClassRank, Retries, ServiceName};
 
-/// Retries of a request if its class does not say.
+/// Retries of a request whose class sets no number.
 const DEFAULT_RETRIES: Retries = Retries::new(2);
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
 impl Checker<'_> {
-    pub(super) fn classes(&mut self, entries: &[ClassEntry]) -> Vec<Class> {
+    pub(super) fn check_classes(&mut self, entries: &[ClassEntry]) -> Vec<Class> {
         let mut seen = BTreeSet::new();
         let mut unprotected = None;
-        for (place, entry) in entries.iter().enumerate() {
+        for (index, entry) in entries.iter().enumerate() {
             let name = &entry.name.value;
             if !seen.insert(name) {
-                self.rules(&entry.name, format!("class {name} stands twice"));
+                self.rules_error(&entry.name, format!("class {name} is declared twice"));
             }
-            if place >= ClassRank::COUNT {
+            if index >= ClassRank::COUNT {
                 let message = format!("at most {} classes may be declared", ClassRank::COUNT);
-                self.rules(&entry.name, message);
+                self.rules_error(&entry.name, message);
             }
             match (entry.protected, unprotected) {
                 (true, Some(earlier)) => {
                     let message = format!(
-                        "protected class {name} stands after {earlier}, which is not protected; \
+                        "protected class {name} is listed after {earlier}, which is not protected; \
                          move it up"
                     );
-                    self.rules(&entry.name, message);
+                    self.rules_error(&entry.name, message);
                 }
                 (false, None) => unprotected = Some(name),
                 _ => {}
             }
-            self.once_class(entry);
+            self.check_once_class(entry);
         }
-        entries.iter().map(class).collect()
+        entries.iter().map(build_class).collect()
     }
 
-    fn once_class(&mut self, entry: &ClassEntry) {
+    fn check_once_class(&mut self, entry: &ClassEntry) {
         let name = &entry.name.value;
         let Some(once) = &entry.once else {
             return;
@@ -50,15 +50,15 @@
             let message = format!(
                 "once class {name} has no valid key; write once: {{ key: Idempotency-Key }}"
             );
-            self.rules(once, message);
+            self.rules_error(once, message);
         }
         if entry.idempotent {
             let message = format!("class {name} is both once and idempotent; remove one of them");
-            self.rules(&entry.name, message);
+            self.rules_error(&entry.name, message);
         }
     }
 
-    pub(super) fn work(
+    pub(super) fn assign_work(
         &mut self,
         entries: &[WorkEntry],
         services: &mut BTreeMap<ServiceName, Service>,
@@ -66,8 +66,8 @@
     ) {
         for entry in entries {
             let class = &entry.class.value;
-            self.known_class(&entry.class, classes);
-            self.pattern(entry);
+            self.check_class(&entry.class, classes);
+            self.check_pattern(entry);
             let work = WorkRule {
                 method: entry.method.as_ref().map(|m| m.value.clone()),
                 path: entry.path.as_ref().map(|p| p.value.clone()),
@@ -76,84 +76,93 @@
             match services.get_mut(&entry.service.value) {
                 Some(service) => service.work.push(work),
                 None => {
-                    let message = format!("{} is no service of the inventory", entry.service.value);
-                    self.rules(&entry.service, message);
+                    let message =
+                        format!("service {} is not in the inventory", entry.service.value);
+                    self.rules_error(&entry.service, message);
                 }
             }
         }
     }
 
-    fn pattern(&mut self, entry: &WorkEntry) {
+    fn check_pattern(&mut self, entry: &WorkEntry) {
         if let Some(method) = &entry.method
             && !METHODS.contains(&&*method.value)
         {
             let message = format!(
-                "\"{}\" is no method; write one of {}",
+                "\"{}\" is not a known method; write one of {}",
                 method.value,
                 METHODS.join(", ")
             );
-            self.rules(method, message);
+            self.rules_error(method, message);
         }
         if let Some(path) = &entry.path
             && !path.value.starts_with('/')
         {
-            self.rules(path, format!("path \"{}\" must begin with /", path.value));
+            self.rules_error(path, format!("path \"{}\" must begin with /", path.value));
         }
     }
 
-    pub(super) fn routes(
+    pub(super) fn check_routes(
         &mut self,
         entries: &[RouteEntry],
         services: &BTreeMap<ServiceName, Service>,
         classes: &[Class],
     ) -> Vec<Route> {
         let mut names = BTreeSet::new();
-        let mut places = BTreeSet::new();
+        let mut matches = BTreeSet::new();
         for entry in entries {
             let name = &entry.name.value;
             if !names.insert(name) {
-                self.rules(&entry.name, format!("route {name} stands twice"));
+                self.rules_error(&entry.name, format!("route {name} is declared twice"));
             }
-            if !places.insert((&*entry.host.value, &*entry.path.value)) {
-                let message = format!("route {name} has host and path of an earlier one");
-                self.rules(&entry.path, message);
+            if !matches.insert((&*entry.host.value, &*entry.path.value)) {
+                let message =
+                    format!("route {name} has the same host and path as an earlier route");
+                self.rules_error(&entry.path, message);
             }
-            self.known_class(&entry.class, classes);
-            self.route(entry, services);
+            self.check_class(&entry.class, classes);
+            self.check_route(entry, services);
         }
-        entries.iter().map(|entry| route(entry, classes)).collect()
+        entries
+            .iter()
+            .map(|entry| build_route(entry, classes))
+            .collect()
     }
 
-    fn route(&mut self, entry: &RouteEntry, services: &BTreeMap<ServiceName, Service>) {
+    fn check_route(&mut self, entry: &RouteEntry, services: &BTreeMap<ServiceName, Service>) {
         let path = &entry.path.value;
         if !path.starts_with('/') || !path.ends_with('/') {
             let message = format!("path \"{path}\" must begin and end with /");
-            self.rules(&entry.path, message);
+            self.rules_error(&entry.path, message);
         }
         if entry.attempts.value == 0 {
-            self.rules(&entry.attempts, "attempts must be at least 1".into());
+            self.rules_error(&entry.attempts, "attempts must be at least 1".into());
         }
         for share in &entry.shares.value {
             if !services.contains_key(&share.service.value) {
-                let message = format!("{} is no service of the inventory", share.service.value);
-                self.rules(&share.service, message);
+                let message = format!("service {} is not in the inventory", share.service.value);
+                self.rules_error(&share.service, message);
             }
         }
         if entry.shares.value.iter().all(|s| s.weight.get() == 0) {
             let message = "write at least one share with a weight above 0".into();
-            self.rules(&entry.shares, message);
+            self.rules_error(&entry.shares, message);
         }
     }
 
-    pub(super) fn callers(&mut self, entries: &[CallerEntry], classes: &[Class]) -> Vec<Caller> {
+    pub(super) fn check_callers(
+        &mut self,
+        entries: &[CallerEntry],
+        classes: &[Class],
+    ) -> Vec<Caller> {
         let mut seen = BTreeSet::new();
         for entry in entries {
             let name = &entry.name.value;
             if !seen.insert(name) {
-                self.rules(&entry.name, format!("caller {name} stands twice"));
+                self.rules_error(&entry.name, format!("caller {name} is declared twice"));
             }
             for class in &entry.classes {
-                self.known_class(class, classes);
+                self.check_class(class, classes);
             }
         }
         entries
@@ -167,7 +176,7 @@
     }
 }
 
-fn route(entry: &RouteEntry, classes: &[Class]) -> Route {
+fn build_route(entry: &RouteEntry, classes: &[Class]) -> Route {
     let class = &entry.class.value;
     let share = |share: &super::rules::ShareEntry| Share {
         service: share.service.value.clone(),
@@ -187,7 +196,7 @@
     }
 }
 
-fn class(entry: &ClassEntry) -> Class {
+fn build_class(entry: &ClassEntry) -> Class {
     Class {
         name: entry.name.value.clone(),
         protected: entry.protected,
--- a/src/declare/check_workspaces.rs
+++ b/src/declare/check_workspaces.rs
@@ -1,4 +1,4 @@
-//! Checks of workspaces.
+//! Validation of workspaces.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::model::KeyDigest;
 
 impl Checker<'_> {
-    pub(super) fn workspaces(
+    pub(super) fn check_workspaces(
         &mut self,
         entries: &[WorkspaceEntry],
         classes: &[Class],
@@ -19,16 +19,16 @@
         for entry in entries {
             let name = &entry.name.value;
             if !names.insert(name) {
-                self.rules(&entry.name, format!("workspace {name} stands twice"));
+                self.rules_error(&entry.name, format!("workspace {name} is declared twice"));
             }
             for class in entry.classes.values() {
-                self.known_class(class, classes);
+                self.check_class(class, classes);
             }
-            let keys = self.keys(entry, &mut owners);
+            let keys = self.check_keys(entry, &mut owners);
             all.push(Workspace {
                 name: name.clone(),
                 keys,
-                limit: self.limit(entry),
+                limit: self.check_limit(entry),
                 classes: entry
                     .classes
                     .iter()
@@ -39,8 +39,8 @@
         Workspaces::new(all)
     }
 
-    /// Reads the keys of a workspace. No message shows a key.
-    fn keys<'e>(
+    /// Returns the key digests of a workspace. No error message contains a key.
+    fn check_keys<'e>(
         &mut self,
         entry: &'e WorkspaceEntry,
         owners: &mut BTreeMap<KeyDigest, &'e str>,
@@ -51,16 +51,16 @@
             let text = key.value.trim();
             if text.is_empty() {
                 let message = format!("workspace {name} has an empty key; write one or remove it");
-                self.rules(key, message);
+                self.rules_error(key, message);
                 continue;
             }
             let digest = KeyDigest::of(text.as_bytes());
             match owners.insert(digest, name) {
                 Some(other) if other != name => {
                     let message = format!(
-                        "a key of workspace {name} is also one of {other}; give each its own"
+                        "a key of workspace {name} is also a key of {other}; give each workspace its own keys"
                     );
-                    self.rules(key, message);
+                    self.rules_error(key, message);
                 }
                 Some(_) | None => keys.push(digest),
             }
@@ -68,7 +68,7 @@
         keys
     }
 
-    fn limit(&mut self, entry: &WorkspaceEntry) -> Option<RateLimit> {
+    fn check_limit(&mut self, entry: &WorkspaceEntry) -> Option<RateLimit> {
         let name = &entry.name.value;
         match (entry.rate, &entry.burst) {
             (Some(rate), burst) => Some(RateLimit {
@@ -78,7 +78,7 @@
             (None, Some(burst)) => {
                 let message =
                     format!("workspace {name} has a burst without a rate; write rate: 100/s");
-                self.rules(burst, message);
+                self.rules_error(burst, message);
                 None
             }
             (None, None) => None,
--- a/src/declare/diff.rs
+++ b/src/declare/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,24 +12,24 @@
 pub struct DocumentChange {
     /// The document.
     pub document: DocumentName,
-    /// The field within it, as a path with dots; empty for the whole.
+    /// The dotted path of the field; empty for the whole document.
     pub field: Box<str>,
-    /// What stood there before, in JSON.
+    /// The old value in JSON.
     pub before: Option<Box<str>>,
-    /// What stands there now, in JSON.
+    /// The new value in JSON.
     pub after: Option<Box<str>>,
 }
 
 impl fmt::Display for DocumentChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let dot = if self.field.is_empty() { "" } else { "." };
-        let place = format!("{}{dot}{}", self.document, self.field);
+        let path = format!("{}{dot}{}", self.document, self.field);
         match (&self.before, &self.after) {
-            (None, Some(after)) => write!(f, "+ {place}: {after}"),
-            (Some(before), None) => write!(f, "- {place}: {before}"),
+            (None, Some(after)) => write!(f, "+ {path}: {after}"),
+            (Some(before), None) => write!(f, "- {path}: {before}"),
             (before, after) => write!(
                 f,
-                "~ {place}: {} -> {}",
+                "~ {path}: {} -> {}",
                 before.as_deref().unwrap_or("nothing"),
                 after.as_deref().unwrap_or("nothing")
             ),
@@ -37,10 +37,10 @@
     }
 }
 
-/// Returns what differs between two sets of documents.
+/// Returns the differences between two sets of documents.
 pub fn diff(before: &[Document], after: &[Document]) -> Vec<DocumentChange> {
-    let old = by_name(before);
-    let new = by_name(after);
+    let old = index_by_name(before);
+    let new = index_by_name(after);
     let mut changes = Vec::new();
     for (name, document) in &old {
         let old_value = value(document);
@@ -53,7 +53,7 @@
     changes
 }
 
-fn by_name(documents: &[Document]) -> BTreeMap<&DocumentName, &Document> {
+fn index_by_name(documents: &[Document]) -> BTreeMap<&DocumentName, &Document> {
     documents.iter().map(|d| (&d.name, d)).collect()
 }
 
@@ -79,7 +79,7 @@
             for key in keys {
                 compare(
                     document,
-                    &below(field, key),
+                    &join_path(field, key),
                     old.get(key),
                     new.get(key),
                     changes,
@@ -87,13 +87,13 @@
             }
         }
         (Some(Value::Array(old)), Some(Value::Array(new))) => {
-            for place in 0..old.len().max(new.len()) {
-                let key = place.to_string();
+            for index in 0..old.len().max(new.len()) {
+                let key = index.to_string();
                 compare(
                     document,
-                    &below(field, &key),
-                    old.get(place),
-                    new.get(place),
+                    &join_path(field, &key),
+                    old.get(index),
+                    new.get(index),
                     changes,
                 );
             }
@@ -107,7 +107,7 @@
     }
 }
 
-fn below(field: &str, key: &str) -> String {
+fn join_path(field: &str, key: &str) -> String {
     if field.is_empty() {
         key.to_owned()
     } else {
--- a/src/declare/document.rs
+++ b/src/declare/document.rs
@@ -1,4 +1,4 @@
-//! The estate cut into documents, so that one change moves one of them.
+//! Splitting of an estate into documents, so that one change replaces few of them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,20 +10,20 @@
 use crate::error::Error;
 use crate::model::ServiceName;
 
-/// The SHA-256 of a content, in hex.
+/// A hex-encoded SHA-256 hash of some content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Hash(Box<str>);
 
 impl Hash {
-    /// Computes the hash of a content.
+    /// Computes the hash of `content`.
     pub fn of(content: &[u8]) -> Self {
         let digest = Sha256::digest(content);
         let hex: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
         Self(hex.into())
     }
 
-    /// Takes a hash as it stands in a message.
+    /// Creates a hash from its text in a message, without validation.
     pub fn from_text(text: &str) -> Self {
         Self(text.into())
     }
@@ -53,7 +53,7 @@
     const WORKSPACES: &'static str = "workspaces";
     const SERVICE: &'static str = "service/";
 
-    /// Takes a name as it stands in a message.
+    /// Creates a name from its text in a message, without validation.
     pub fn from_text(text: &str) -> Self {
         Self(text.into())
     }
@@ -101,17 +101,17 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Classes {
+struct ClassesDocument {
     classes: Vec<Class>,
     callers: Vec<Caller>,
     once: OnceSettings,
 }
 
-/// Cuts an estate into documents.
+/// Splits an estate into documents.
 pub fn split(estate: &Estate) -> Vec<Document> {
     let centres = DocumentName::from_text(DocumentName::CENTRES);
     let classes = DocumentName::from_text(DocumentName::CLASSES);
-    let rules = Classes {
+    let rules = ClassesDocument {
         classes: estate.classes.clone(),
         callers: estate.callers.clone(),
         once: estate.once,
@@ -135,14 +135,14 @@
     documents
 }
 
-/// Makes an estate of its documents.
+/// Builds an estate from its documents.
 ///
 /// # Errors
 ///
 /// Fails if a document is missing, unknown or unreadable.
 pub fn join<'a>(documents: impl IntoIterator<Item = &'a Document>) -> Result<Estate, Error> {
     let mut centres: Option<Vec<Centre>> = None;
-    let mut rules: Option<Classes> = None;
+    let mut rules: Option<ClassesDocument> = None;
     let mut routes = Vec::new();
     let mut workspaces: Option<Vec<Workspace>> = None;
     let mut services = BTreeMap::new();
@@ -157,7 +157,7 @@
                 services.insert(service.name.clone(), service);
             }
             name => {
-                let message = format!("\"{name}\" is not known");
+                let message = format!("unknown document \"{name}\"");
                 return Err(Error::value("configuration document", message));
             }
         }
@@ -167,7 +167,7 @@
     let centres = centres.ok_or_else(|| missing(DocumentName::CENTRES))?;
     let rules = rules.ok_or_else(|| missing(DocumentName::CLASSES))?;
     if rules.classes.is_empty() {
-        return Err(Error::value("configuration", "it has no class"));
+        return Err(Error::value("configuration", "no class is declared"));
     }
     Ok(Estate {
         centres,
--- a/src/declare/estate.rs
+++ b/src/declare/estate.rs
@@ -1,4 +1,4 @@
-//! The checked declarations, as daemons use them.
+//! The validated declarations that daemons use.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -18,13 +18,13 @@
 pub struct Centre {
     /// Its name.
     pub name: CentreName,
-    /// The region it lies in, if declared.
+    /// Its region, if declared.
     pub region: Option<Box<str>>,
     /// Its halls.
     pub halls: Vec<HallName>,
 }
 
-/// How many servers of a service stand in a hall.
+/// The servers of a service in one hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// The data centre.
@@ -38,9 +38,9 @@
 /// Assigns calls to a class by service, method and path.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkRule {
-    /// The method, or any.
+    /// The method; any method if `None`.
     pub method: Option<Box<str>>,
-    /// What the path begins with, or any.
+    /// The path prefix; any path if `None`.
     pub path: Option<Box<str>>,
     /// The class.
     pub class: ClassName,
@@ -54,20 +54,20 @@
     }
 }
 
-/// A service with the sizes of each of its servers.
+/// A service and the capacity of each of its servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Calls that one server runs at one time.
+    /// Maximum number of calls that one server runs concurrently.
     pub slots: Slots,
-    /// Connections that one server accepts.
+    /// Maximum number of connections that one server accepts.
     pub connections: Connections,
     /// The services that it calls.
     pub depends: Vec<ServiceName>,
-    /// Where its servers stand.
+    /// The placement of its servers.
     pub servers: Vec<Placement>,
-    /// The classes of calls to it, the first match counts.
+    /// The classes of calls to it; the first match applies.
     pub work: Vec<WorkRule>,
 }
 
@@ -83,42 +83,42 @@
 pub struct Class {
     /// Its name.
     pub name: ClassName,
-    /// Whether it is shed only when nothing less important is admitted.
+    /// Whether it is shed only when no less important call is admitted.
     pub protected: bool,
-    /// The header with the idempotency key, if calls must run at most once.
+    /// The header that carries the idempotency key, if calls must run at most once.
     pub once_key: Option<Box<str>>,
     /// Whether calls may run twice without harm.
     pub idempotent: bool,
-    /// How long a caller waits when it does not say so.
+    /// The deadline of calls whose caller sets none.
     pub deadline: PositiveDuration,
-    /// Retries of one request over its whole tree of calls.
+    /// Maximum number of retries of one request, over its whole call tree.
     pub retries: Retries,
 }
 
-/// A caller, known by the network it calls from.
+/// A caller, identified by its networks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
     /// Its name.
     pub name: CallerName,
     /// The networks it calls from.
     pub networks: Vec<IpNet>,
-    /// The classes it may use; all if empty.
+    /// The classes it may use; all classes if empty.
     pub classes: Vec<ClassName>,
 }
 
-/// How once calls are kept.
+/// Settings of calls that run at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceSettings {
-    /// How far ahead mint times are given out.
+    /// How far in the future mint times may be issued.
     pub horizon: PositiveDuration,
-    /// How long keys are remembered.
+    /// How long keys are retained.
     #[serde(rename = "memory")]
     pub retention: PositiveDuration,
-    /// Most bytes that a guard's ledger holds.
+    /// Maximum size of a guard's ledger.
     pub ledger_bytes: Bytes,
 }
 
-/// The whole estate with its rules.
+/// All services and servers of an operator, with their rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Estate {
     /// The data centres.
@@ -131,9 +131,9 @@
     pub routes: Vec<Route>,
     /// The callers.
     pub callers: Vec<Caller>,
-    /// The workspaces; where there are none, callers need no key.
+    /// The workspaces; callers need no key if `None`.
     pub workspaces: Option<Workspaces>,
-    /// How once calls are kept.
+    /// Settings of calls that run at most once.
     pub once: OnceSettings,
 }
 
@@ -145,10 +145,10 @@
             .iter()
             .find(|work| work.matches(method, path))
             .map(|work| &work.class);
-        let place = named
+        let index = named
             .and_then(|name| self.classes.iter().position(|c| c.name == *name))
             .unwrap_or(self.classes.len() - 1);
-        (ClassRank::new(place), &self.classes[place])
+        (ClassRank::new(index), &self.classes[index])
     }
 
     /// Returns the route of a request, if one matches.
@@ -156,20 +156,19 @@
         route::find(&self.routes, host, path)
     }
 
-    /// Tells whether an operator ends a route's requests before its objective,
-    /// which says that a slow answer is worth nothing there.
+    /// Returns whether a route's timeout is shorter than its objective, which means that
+    /// a slow answer is worth nothing there.
     pub fn has_early_timeout(&self) -> bool {
         self.routes.iter().any(|r| r.timeout < r.objective)
     }
 
     /// Returns a class by name, with its rank.
     pub fn class(&self, name: &str) -> Option<(ClassRank, &Class)> {
-        let place = self.classes.iter().position(|c| c.name.as_str() == name)?;
-        Some((ClassRank::new(place), &self.classes[place]))
+        let index = self.classes.iter().position(|c| c.name.as_str() == name)?;
+        Some((ClassRank::new(index), &self.classes[index]))
     }
 
-    /// Returns the least important rank of those down to which all classes
-    /// are protected.
+    /// Returns the rank of the last class before the first unprotected one, if any.
     pub fn last_protected_rank(&self) -> Option<ClassRank> {
         let count = self.classes.iter().take_while(|c| c.protected).count();
         count.checked_sub(1).map(ClassRank::new)
@@ -182,13 +181,13 @@
             .find(|caller| caller.networks.iter().any(|net| net.contains(&address)))
     }
 
-    /// Returns the number of servers in all.
+    /// Returns the total number of servers.
     pub fn server_count(&self) -> u32 {
         self.services.values().map(Service::count).sum()
     }
 
-    /// Returns how many daemons may call a service: those of the services
-    /// that depend on it, and its own data centres' as entries for callers.
+    /// Returns how many daemons may call a service: those of the services that depend
+    /// on it, and its own ones, which are entries for callers.
     pub fn entry_count(&self, service: &ServiceName) -> u32 {
         let calling: u32 = self
             .services
@@ -200,7 +199,7 @@
         calling + own
     }
 
-    /// Tells whether a service has once calls.
+    /// Returns whether a service has calls that must run at most once.
     pub fn has_once(&self, service: &Service) -> bool {
         service.work.iter().any(|work| {
             self.class(work.class.as_str())
--- a/src/declare/inventory.rs
+++ b/src/declare/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory as operators write it.
+//! The format of the inventory file.
 
 use serde::Deserialize;
 use serde_saphyr::Spanned;
--- a/src/declare/load.rs
+++ b/src/declare/load.rs
@@ -1,4 +1,4 @@
-//! Loading of a directory of declarations.
+//! Loading of declarations from a directory.
 
 use std::path::Path;
 
@@ -9,20 +9,20 @@
 use super::source::{Errors, read};
 use crate::error::Error;
 
-const INVENTORY: &str = "inventory.yaml";
-const RULES: &str = "rules.yaml";
+const INVENTORY_FILE: &str = "inventory.yaml";
+const RULES_FILE: &str = "rules.yaml";
 
-/// Loads and checks `inventory.yaml` and `rules.yaml` of a directory.
+/// Loads and validates `inventory.yaml` and `rules.yaml` in `dir`.
 ///
 /// # Errors
 ///
-/// Returns every mistake found, with file, line and what to write instead.
+/// Returns all errors found, each with its file, line and a correction.
 pub fn load(dir: &Path) -> Result<Estate, Errors> {
-    let inventory_file = dir.join(INVENTORY);
-    let rules_file = dir.join(RULES);
+    let inventory_file = dir.join(INVENTORY_FILE);
+    let rules_file = dir.join(RULES_FILE);
     let mut errors = Errors::default();
-    let inventory: Option<Inventory> = keep(&mut errors, read(&inventory_file));
-    let rules: Option<Rules> = keep(&mut errors, read(&rules_file));
+    let inventory: Option<Inventory> = collect_error(&mut errors, read(&inventory_file));
+    let rules: Option<Rules> = collect_error(&mut errors, read(&rules_file));
     let (Some(inventory), Some(rules)) = (inventory, rules) else {
         return Err(errors);
     };
@@ -39,10 +39,10 @@
         rules_file: &rules_file,
         errors,
     };
-    checker.estate(&inventory, &rules)
+    checker.build_estate(&inventory, &rules)
 }
 
-fn keep<T>(errors: &mut Errors, result: Result<T, Error>) -> Option<T> {
+fn collect_error<T>(errors: &mut Errors, result: Result<T, Error>) -> Option<T> {
     match result {
         Ok(value) => Some(value),
         Err(error) => {
--- a/src/declare/mod.rs
+++ b/src/declare/mod.rs
@@ -1,4 +1,4 @@
-//! Declarations kept in version control: inventory and rules.
+//! Declarations that operators keep in version control: inventory and rules.
 
 mod check;
 mod check_inventory;
--- a/src/declare/route.rs
+++ b/src/declare/route.rs
@@ -1,15 +1,15 @@
-//! Routes: which service takes a request, and how long it may take.
+//! Routes assign requests to services and limit their time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{ClassName, PositiveDuration, RouteName, ServiceName, Weight};
 
-/// The part of a route's requests that one service takes.
+/// The share of a route's requests that one service receives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its part, in proportion to the weights of the other shares.
+    /// Its weight relative to the other shares.
     pub weight: Weight,
 }
 
@@ -18,29 +18,28 @@
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: Box<str>,
-    /// What the path begins with; it begins and ends with a slash.
+    /// The path prefix; it begins and ends with a slash.
     pub path: Box<str>,
-    /// The services that take the requests.
+    /// The services that receive the requests.
     pub shares: Vec<Share>,
     /// The class of the requests.
     pub class: ClassName,
     /// Whether a request may run twice without harm.
     pub idempotent: bool,
-    /// Longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for an answer.
     pub timeout: PositiveDuration,
-    /// The time within which an answer has its full use.
+    /// The time within which an answer is fully useful to the caller.
     pub objective: PositiveDuration,
-    /// Most backend servers that one request is sent to.
+    /// Maximum number of backend servers that one request is sent to.
     pub attempts: u32,
     /// Whether callers need no key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub public: bool,
 }
 
-/// Finds the route of a request: of those of its host, the one whose prefix
-/// is the longest that begins the path.
+/// Returns the route of the host with the longest prefix that matches the path.
 pub(super) fn find<'r>(routes: &'r [Route], host: &str, path: &str) -> Option<&'r Route> {
     routes
         .iter()
--- a/src/declare/rules.rs
+++ b/src/declare/rules.rs
@@ -1,4 +1,4 @@
-//! The rules as operators write them.
+//! The format of the rules file.
 
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -96,7 +96,7 @@
     pub(super) classes: Vec<Spanned<ClassName>>,
 }
 
-/// A workspace. It has no `Debug`, since it holds keys.
+/// A workspace. It does not implement `Debug`, because it holds keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct WorkspaceEntry {
@@ -117,7 +117,7 @@
     pub(super) horizon: PositiveDuration,
     #[serde(rename = "memory", default = "default_retention")]
     pub(super) retention: PositiveDuration,
-    #[serde(default = "default_ledger")]
+    #[serde(default = "default_ledger_bytes")]
     pub(super) ledger_bytes: Bytes,
 }
 
@@ -129,7 +129,7 @@
     PositiveDuration::from_millis(24 * 3600 * 1000)
 }
 
-fn default_ledger() -> Bytes {
+fn default_ledger_bytes() -> Bytes {
     Bytes::new(8 * 1024 * 1024)
 }
 
@@ -138,7 +138,7 @@
         Self {
             horizon: default_horizon(),
             retention: default_retention(),
-            ledger_bytes: default_ledger(),
+            ledger_bytes: default_ledger_bytes(),
         }
     }
 }
--- a/src/declare/source.rs
+++ b/src/declare/source.rs
@@ -1,4 +1,4 @@
-//! Reading of YAML files with the place of each mistake.
+//! Reading of YAML files with the location of each error.
 
 use std::fmt;
 use std::path::Path;
@@ -8,35 +8,35 @@
 
 use crate::error::Error;
 
-/// Largest file that is read, in bytes.
-const MAX_FILE: u64 = 16 * 1024 * 1024;
+/// Maximum size of a file.
+const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// All mistakes found in one go.
+/// The errors found in one pass over the files.
 #[derive(Debug, Default)]
 pub struct Errors(Vec<Error>);
 
 impl Errors {
-    /// Adds a mistake in `file` at the place of `value`.
+    /// Adds an error in `file` at the location of `value`.
     pub fn push_at<T>(&mut self, file: &Path, value: &Spanned<T>, message: impl Into<Box<str>>) {
         let line = line_of(Some(value.referenced));
         self.0.push(Error::input(file, line, message));
     }
 
-    /// Adds a mistake.
+    /// Adds an error.
     pub fn push(&mut self, error: Error) {
         self.0.push(error);
     }
 
-    /// Returns the mistakes.
+    /// Returns the errors.
     pub fn iter(&self) -> impl Iterator<Item = &Error> {
         self.0.iter()
     }
 
-    /// Returns `value` if there are no mistakes.
+    /// Returns `value` if no error was added.
     ///
     /// # Errors
     ///
-    /// Returns the mistakes, if there are any.
+    /// Returns the errors otherwise.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             Ok(value)
@@ -54,8 +54,8 @@
 
 impl fmt::Display for Errors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, error) in self.0.iter().enumerate() {
-            if place > 0 {
+        for (index, error) in self.0.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             error.fmt(f)?;
@@ -70,22 +70,22 @@
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read, is no UTF-8 or is no valid `T`.
+/// Fails if the file cannot be read, is not UTF-8 or is not a valid `T`.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let action = || format!("read {}", path.display());
     let meta = std::fs::metadata(path).map_err(|e| Error::io(action(), e))?;
-    if meta.len() > MAX_FILE {
+    if meta.len() > MAX_FILE_BYTES {
         return Err(Error::input(path, 0, "the file is larger than 16 MiB"));
     }
     let bytes = std::fs::read(path).map_err(|e| Error::io(action(), e))?;
     parse(path, &bytes)
 }
 
-/// Parses the content of a YAML file; `path` is named in mistakes.
+/// Parses the content of a YAML file; errors name `path`.
 ///
 /// # Errors
 ///
-/// Fails if the content is no UTF-8 or is no valid `T`.
+/// Fails if the content is not UTF-8 or not a valid `T`.
 pub fn parse<T: DeserializeOwned>(path: &Path, bytes: &[u8]) -> Result<T, Error> {
     let text = std::str::from_utf8(bytes).map_err(|e| {
         let before = &bytes[..e.valid_up_to()];
--- a/src/declare/workspace.rs
+++ b/src/declare/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: who calls, known by an API key.
+//! Workspaces, which callers identify by an API key.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,12 +6,12 @@
 
 use crate::model::{ClassName, KeyDigest, Rate, WorkspaceName};
 
-/// How many requests a workspace may make, over all daemons together.
+/// The rate limit of a workspace, over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: Rate,
-    /// Requests at once, on top.
+    /// Requests that may exceed the rate at once.
     pub burst: u32,
 }
 
@@ -22,10 +22,10 @@
     pub name: WorkspaceName,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// How many requests it may make; any number if not given.
+    /// Its rate limit; unlimited if `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<RateLimit>,
-    /// Classes that its requests have in place of others.
+    /// Classes that replace others for its requests.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub classes: BTreeMap<ClassName, ClassName>,
 }
@@ -39,17 +39,16 @@
 }
 
 impl Workspaces {
-    /// Makes the table of all workspaces. A key that two of them have is the
-    /// first one's.
+    /// Creates the lookup tables. A key that two workspaces share belongs to the first.
     pub fn new(all: Vec<Workspace>) -> Self {
         let mut by_key = HashMap::new();
-        for (place, workspace) in all.iter().enumerate() {
+        for (index, workspace) in all.iter().enumerate() {
             for key in &workspace.keys {
-                by_key.entry(*key).or_insert(place);
+                by_key.entry(*key).or_insert(index);
             }
         }
         let names = all.iter().map(|workspace| workspace.name.clone());
-        let by_name = names.enumerate().map(|(place, name)| (name, place));
+        let by_name = names.enumerate().map(|(index, name)| (name, index));
         Self {
             by_name: by_name.collect(),
             by_key,
@@ -57,18 +56,18 @@
         }
     }
 
-    /// Returns all of them.
+    /// Returns all workspaces.
     pub fn all(&self) -> &[Workspace] {
         &self.all
     }
 
     /// Returns the workspace that a key belongs to.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Workspace> {
-        self.by_key.get(key).map(|place| &self.all[*place])
+        self.by_key.get(key).map(|index| &self.all[*index])
     }
 
     /// Returns a workspace by name.
     pub fn get(&self, name: &WorkspaceName) -> Option<&Workspace> {
-        self.by_name.get(name).map(|place| &self.all[*place])
+        self.by_name.get(name).map(|index| &self.all[*index])
     }
 }
--- a/tests/workspace_rules.rs
+++ b/tests/workspace_rules.rs
@@ -1,4 +1,4 @@
-//! Workspaces in the declarations, and in the documents made of them.
+//! Workspaces in the declarations and in the documents built from them.
 
 #![allow(missing_docs)]
 
@@ -8,8 +8,8 @@
 use bramleymount::model::{KeyDigest, Rate};
 use rstest::rstest;
 
-/// Loads the example with `workspaces` at the end of its rules.
-fn with(case: &str, workspaces: &str) -> Result<Estate, String> {
+/// Loads the example with `workspaces` added to its rules.
+fn load_with(case: &str, workspaces: &str) -> Result<Estate, String> {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("workspaces-{case}"));
     std::fs::create_dir_all(&dir).expect("a directory");
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
@@ -23,12 +23,13 @@
     load(&dir).map_err(|e| e.to_string())
 }
 
-const GOOD: &str = "  - {name: north, keys: [secret-1, secret-2], rate: 20/s, burst: 40}
+const VALID_WORKSPACES: &str =
+    "  - {name: north, keys: [secret-1, secret-2], rate: 20/s, burst: 40}
   - {name: south, keys: [secret-3], classes: {status-read: archive-read}}";
 
 #[test]
-fn load_keeps_digests_in_place_of_keys() {
-    let estate = with("good", GOOD).unwrap_or_else(|e| panic!("{e}"));
+fn load_replaces_keys_by_digests() {
+    let estate = load_with("good", VALID_WORKSPACES).unwrap_or_else(|e| panic!("{e}"));
     let documents = split(&estate);
     assert_eq!(join(&documents).expect("an estate"), estate);
     for document in &documents {
@@ -50,7 +51,7 @@
 #[rstest]
 #[case::key_of_two(
     "  - {name: a, keys: [same]}\n  - {name: b, keys: [same]}",
-    "rules.yaml:3: a key of workspace b is also one of a"
+    "rules.yaml:3: a key of workspace b is also a key of a"
 )]
 #[case::empty_key(
     "  - {name: a, keys: [\"\"]}",
@@ -64,7 +65,7 @@
 )]
 #[case::twice(
     "  - {name: a, keys: [k]}\n  - {name: a, keys: [l]}",
-    "workspace a stands twice"
+    "workspace a is declared twice"
 )]
 #[case::unknown_class(
     "  - {name: a, keys: [k], classes: {status-read: nothing}}",
@@ -72,6 +73,6 @@
 )]
 fn load_refuses(#[case] workspaces: &str, #[case] message: &str) {
     let case = format!("{:x}", xxhash_rust::xxh3::xxh3_64(workspaces.as_bytes()));
-    let error = with(&case, workspaces).expect_err("a mistake");
+    let error = load_with(&case, workspaces).expect_err("an error");
     assert!(error.contains(message), "{error}");
 }
