--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks of single settings.
+//! Validation of individual settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,9 +10,9 @@
 use crate::policy::rate::RateTolerance;
 use crate::policy::retry::AllowanceSettings;
 
-/// Largest number of requests under way on one connection.
+/// Maximum number of pipelined requests on one connection.
 const MAX_PIPELINED: usize = 64;
-/// Largest number of other daemons that a platform names.
+/// Maximum number of seeds that a platform lists.
 const MAX_SEEDS: usize = 16;
 
 pub(super) fn check_pipelining(path: &Path, entry: CallersEntry, errors: &mut Errors) -> usize {
@@ -26,16 +26,16 @@
     max_pipelined.value
 }
 
-/// Returns where the daemons answer that a platform names by the addresses at which
-/// they take announcements: ports are the same on all VMs of an estate.
+/// Returns the peer addresses of the seeds, which a platform lists by the addresses at
+/// which they receive announcements. All VMs of an estate use the same ports.
 pub(super) fn check_seeds(
     path: &Path,
     seeds: &[Spanned<SocketAddr>],
     peers: SocketAddr,
     errors: &mut Errors,
 ) -> Vec<SocketAddr> {
-    if let Some(beyond) = seeds.get(MAX_SEEDS) {
-        errors.push_at(path, beyond, format!("write at most {MAX_SEEDS} seeds"));
+    if let Some(excess) = seeds.get(MAX_SEEDS) {
+        errors.push_at(path, excess, format!("write at most {MAX_SEEDS} seeds"));
     }
     let others = seeds.iter().filter(|seed| seed.value.ip() != peers.ip());
     others
@@ -88,25 +88,25 @@
 
 pub(super) fn check_listen(path: &Path, listen: &ListenEntry, errors: &mut Errors) {
     let all = [&listen.callers, &listen.peers, &listen.operators];
-    for (place, address) in all.iter().enumerate() {
+    for (index, address) in all.iter().enumerate() {
         if address.value.ip().is_unspecified() {
-            let message = "write the VM's own IP number; other daemons must be able to use it";
+            let message = "write the VM's own IP address; other daemons must be able to reach it";
             errors.push_at(path, address, message);
         }
         if address.value.port() == 0 {
             errors.push_at(path, address, "write a port above 0");
         }
-        if all[..place]
+        if all[..index]
             .iter()
             .any(|other| other.value == address.value)
         {
-            let message = format!("{} stands twice; each needs its own", address.value);
+            let message = format!("{} is used twice; each needs its own", address.value);
             errors.push_at(path, address, message);
         }
     }
     let operators = &listen.operators;
     if !operators.value.ip().is_loopback() && !listen.remote_operators {
-        let message = "operators must be on loopback, since whoever reaches it can change the \
+        let message = "operators must be on loopback, since anyone who reaches it can change the \
                        configuration; or write operators_beyond_loopback: true";
         errors.push_at(path, operators, message);
     }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written.
+//! The format of the settings file.
 
 use std::net::SocketAddr;
 
--- a/src/config/log.rs
+++ b/src/config/log.rs
@@ -1,4 +1,4 @@
-//! Setting up of structured logs.
+//! Setup of structured logging.
 
 use std::num::NonZeroUsize;
 use std::str::FromStr;
@@ -12,14 +12,14 @@
 
 use crate::error::Error;
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// Least severe level that is logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what needs an operator.
+    /// Only events that need an operator.
     Error,
-    /// Also what may need one soon.
+    /// Also events that may need an operator soon.
     Warn,
-    /// Also what changes.
+    /// Also changes of state.
     #[default]
     Info,
-    /// Also single calls that were refused or failed.
+    /// Also individual calls that were refused or failed.
     Debug,
 }
 
@@ -64,60 +64,60 @@
     }
 }
 
-/// Lines that wait to be written; more are dropped and counted.
-const QUEUE: usize = 4096;
+/// Maximum number of lines that wait to be written; further ones are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Lines dropped since the start because the reader of the log was too slow.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped since the start because the log was read too slowly.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the number of log lines that were dropped since the start.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Sends logs to standard output in the given form, without ever waiting for
-/// its reader.
+/// Sends logs to standard output in the given format, without ever blocking on its
+/// reader.
 ///
 /// # Errors
 ///
 /// Fails if the logger cannot be built.
 pub fn init_log(level: LogLevel, format: LogFormat) -> Result<(), Error> {
-    let wrong = |e: spdlog::Error| Error::remote(format!("cannot set up logs: {e}"));
+    let failed = |e: spdlog::Error| Error::remote(format!("cannot set up logging: {e}"));
     let sink = match format {
-        LogFormat::Text => sink(FullFormatter::new()),
-        LogFormat::Json => sink(JsonFormatter::new()),
+        LogFormat::Text => build_sink(FullFormatter::new()),
+        LogFormat::Json => build_sink(JsonFormatter::new()),
     }
-    .map_err(wrong)?;
+    .map_err(failed)?;
     let logger = Logger::builder()
         .name("bramleymount")
         .sink(sink)
         .level_filter(LevelFilter::MoreSevereEqual(level.level()))
         .flush_level_filter(LevelFilter::Off)
         .error_handler(|_| {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         })
         .build()
-        .map_err(wrong)?;
+        .map_err(failed)?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
 
-fn capacity() -> NonZeroUsize {
-    NonZeroUsize::new(QUEUE).unwrap_or(NonZeroUsize::MIN)
+fn queue_capacity() -> NonZeroUsize {
+    NonZeroUsize::new(MAX_QUEUED_LINES).unwrap_or(NonZeroUsize::MIN)
 }
 
-fn sink<F: Formatter + 'static>(formatter: F) -> spdlog::Result<Arc<dyn Sink>> {
+fn build_sink<F: Formatter + 'static>(formatter: F) -> spdlog::Result<Arc<dyn Sink>> {
     let sink = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
         .formatter(formatter)
         .build()?;
-    let pool = ThreadPool::builder().capacity(capacity()).build()?;
+    let pool = ThreadPool::builder().capacity(queue_capacity()).build()?;
     let sink = AsyncPoolSink::builder()
         .sink(Arc::new(sink))
         .thread_pool(Arc::new(pool))
         .overflow_policy(OverflowPolicy::DropIncoming)
         .error_handler(|_| {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         })
         .build()?;
     Ok(Arc::new(sink))
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a daemon, read and checked.
+//! The validated settings of a daemon.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,36 +16,36 @@
 use crate::policy::retry::AllowanceSettings;
 use crate::policy::route::Balance;
 
-/// Largest number of first neighbours.
+/// Maximum number of configured neighbours.
 const MAX_NEIGHBOURS: usize = 64;
-/// Largest number of worker threads.
+/// Maximum number of worker threads.
 const MAX_WORKERS: usize = 64;
 
 /// The addresses on which a daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For callers, and for onward calls of the own backend server.
+    /// For callers and for onward calls of the local backend server.
     pub callers: SocketAddr,
     /// For other daemons.
     pub peers: SocketAddr,
     /// The address by which other daemons reach `peers`.
     pub advertised: SocketAddr,
-    /// For operators, and for announcements of the own backend server.
+    /// For operators and for announcements of the local backend server.
     pub operators: SocketAddr,
 }
 
-/// Where a hosting platform meets the daemon.
+/// The interfaces between the daemon and a hosting platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hosting {
-    /// For announcements of the own backend server.
+    /// The address for announcements of the local backend server.
     pub announcements: SocketAddr,
-    /// For questions whether the daemon takes calls.
+    /// The address for readiness probes.
     pub readiness: SocketAddr,
-    /// For scrapers of metrics, if any.
+    /// The address for metrics scrapers, if any.
     pub metrics: Option<SocketAddr>,
-    /// What the platform allows of retries.
+    /// The retries that the platform allows.
     pub retry_allowance: AllowanceSettings,
-    /// What the platform tolerates of workspaces that exceed their rates.
+    /// How far the platform lets workspaces exceed their rates.
     pub rate_tolerance: RateTolerance,
 }
 
@@ -58,55 +58,55 @@
     pub hall: HallName,
     /// The service of the backend server.
     pub service: ServiceName,
-    /// Where the daemon listens.
+    /// The addresses on which the daemon listens.
     pub listen: ListenAddresses,
-    /// Where the backend server listens, on loopback.
+    /// The address of the backend server, on the same VM.
     pub backend: SocketAddr,
-    /// Where the platform's table service and object store answer.
+    /// The address of the platform's table service and object store.
     pub platform: SocketAddr,
-    /// Daemons to ask first for the others.
+    /// Daemons to contact first, to learn of the others.
     pub neighbours: Vec<SocketAddr>,
-    /// Set if the daemon runs on VMs whose platform speaks its own interfaces.
+    /// Set if the VMs belong to a hosting platform with interfaces of its own.
     pub hosting: Option<Hosting>,
-    /// By what backend servers are compared.
+    /// The measure by which backend servers are compared.
     pub balance: Balance,
-    /// Where metrics go by UDP, if anywhere.
+    /// The address to which metrics are sent by UDP, if any.
     pub metrics: Option<SocketAddr>,
-    /// Which trees of calls begin, and when refused callers return.
+    /// How the entry selects the call trees that may start, and when refused callers retry.
     pub front: FrontMode,
-    /// Threads that take calls from callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
-    /// Requests of one connection of a caller that may be under way; with one
-    /// or none each waits for the answer to the one in front of it.
+    /// Maximum number of pipelined requests on one connection of a caller; with 0 or 1
+    /// each request waits for the answer to the previous one.
     pub max_pipelined: usize,
-    /// Whether workspaces share the backend server's slot time by their rates.
+    /// Whether workspaces share the backend server's slot time in proportion to their rates.
     pub fair_sharing: bool,
     /// How long a planned stop waits for calls in flight.
     pub grace: PositiveDuration,
     /// Whether the operators' interface may listen beyond loopback.
     pub remote_operators: bool,
-    /// Least severe level that is logged.
+    /// The least severe level that is logged.
     pub log_level: LogLevel,
-    /// The form of log lines.
+    /// The format of log lines.
     pub log_format: LogFormat,
 }
 
 impl Config {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every mistake found, with line and what to write instead.
+    /// Returns all errors found, each with its line and a correction.
     pub fn read(path: &Path) -> Result<Self, Errors> {
         let file: File = read(path)?;
         Self::check(path, file)
     }
 
-    /// Checks the content of a settings file; `path` is named in mistakes.
+    /// Parses and validates the content of a settings file; errors name `path`.
     ///
     /// # Errors
     ///
-    /// Returns every mistake found, with line and what to write instead.
+    /// Returns all errors found, each with its line and a correction.
     pub fn parse(path: &Path, content: &[u8]) -> Result<Self, Errors> {
         let file: File = parse(path, content)?;
         Self::check(path, file)
@@ -118,7 +118,7 @@
         let own = file.listen.callers.value.ip();
         if !file.backend.value.ip().is_loopback() && file.backend.value.ip() != own {
             let message = "backend must be on loopback, such as 127.0.0.1:9000, or on the VM's \
-                           own IP number that callers use";
+                           own IP address that callers use";
             errors.push_at(path, &file.backend, message);
         }
         if file.platform.value.port() == 0 {
@@ -130,7 +130,7 @@
         }
         for neighbour in &file.neighbours {
             if neighbour.value == file.listen.peers.value {
-                let message = "a daemon is no neighbour of its own; remove the line";
+                let message = "a daemon cannot be its own neighbour; remove the line";
                 errors.push_at(path, neighbour, message);
             }
         }
--- a/tests/declare.rs
+++ b/tests/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations and settings that are wrong, with the place of each mistake.
+//! Errors in declarations and settings, with the location of each.
 
 #![allow(missing_docs)]
 
@@ -16,7 +16,7 @@
         .join(name)
 }
 
-/// Loads an example in which `from` is written as `to`.
+/// Loads an example in which `from` is replaced by `to`.
 fn altered(case: &str, file: &str, from: &str, to: &[u8]) -> Result<(), String> {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("declare-{case}"));
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -46,7 +46,7 @@
     "inventory.yaml",
     "    connections: 550\n    servers:",
     "    connections: 550\n    depends: [forecast-archive]\n    servers:",
-    "in a circle"
+    "in a cycle"
 )]
 #[case::unknown_service(
     "inventory.yaml",
@@ -89,7 +89,7 @@
     "inventory.yaml",
     "name: alert-dispatch",
     "name: forecast-archive",
-    "service forecast-archive stands twice"
+    "service forecast-archive is declared twice"
 )]
 #[case::unknown_field("inventory.yaml", "slots: 70", "slotz: 70", "slotz")]
 #[case::unknown_hall("inventory.yaml", "hall: b, count", "hall: z, count", "has no hall z")]
@@ -99,14 +99,19 @@
     "data_centre: oslo-9",
     "data centre oslo-9 is not declared; known are oslo-1"
 )]
-#[case::bad_method("rules.yaml", "method: POST", "method: post", "\"post\" is no method")]
+#[case::bad_method(
+    "rules.yaml",
+    "method: POST",
+    "method: post",
+    "\"post\" is not a known method"
+)]
 #[case::bad_path("rules.yaml", "path: /alerts", "path: alerts", "must begin with /")]
 #[case::bad_duration("rules.yaml", "deadline: 2s", "deadline: 2", "number with its unit")]
 #[case::protected_below(
     "rules.yaml",
     "  - name: archive-read\n",
     "  - name: early\n    deadline: 1s\n  - name: archive-read\n",
-    "archive-read stands after early, which is not protected; move it up"
+    "archive-read is listed after early, which is not protected; move it up"
 )]
 #[case::bad_name(
     "inventory.yaml",
@@ -116,7 +121,7 @@
 )]
 fn load_refuses(#[case] file: &str, #[case] from: &str, #[case] to: &str, #[case] message: &str) {
     let case = format!("{:x}", xxhash(to, from));
-    let error = altered(&case, file, from, to.as_bytes()).expect_err("a mistake");
+    let error = altered(&case, file, from, to.as_bytes()).expect_err("an error");
     assert!(error.contains(message), "{error}");
     assert!(error.contains(".yaml:"), "{error}");
 }
@@ -128,9 +133,9 @@
 }
 
 #[test]
-fn load_refuses_other_than_utf8() {
+fn load_refuses_invalid_utf8() {
     let error =
-        altered("utf8", "rules.yaml", "deadline: 2s", b"deadline: \xff").expect_err("a mistake");
+        altered("utf8", "rules.yaml", "deadline: 2s", b"deadline: \xff").expect_err("an error");
     assert!(
         error.contains("rules.yaml:7: the file must be UTF-8"),
         "{error}"
@@ -148,8 +153,8 @@
 
 #[rstest]
 #[case::left_out("", false)]
-#[case::asked_for("fair: true\n", true)]
-fn config_shares_slots_only_where_asked(#[case] line: &str, #[case] fair: bool) {
+#[case::set("fair: true\n", true)]
+fn config_shares_slots_only_if_set(#[case] line: &str, #[case] fair: bool) {
     let text = format!("{SETTINGS}{line}");
     let config = Config::parse(Path::new("s.yaml"), text.as_bytes());
     assert_eq!(config.unwrap_or_else(|e| panic!("{e}")).fair_sharing, fair);
@@ -171,15 +176,15 @@
 #[case::same_twice(
     "peers: 10.0.0.5:8001",
     "peers: 10.0.0.5:8000",
-    "s.yaml:6: 10.0.0.5:8000 stands twice"
+    "s.yaml:6: 10.0.0.5:8000 is used twice"
 )]
 #[case::any_address(
     "callers: 10.0.0.5:8000",
     "callers: 0.0.0.0:8000",
-    "write the VM's own IP number"
+    "write the VM's own IP address"
 )]
 #[case::host_name("platform: 10.1.0.9:7000", "platform: store:7000", "s.yaml:9")]
-#[case::own_neighbour("[10.0.0.6:8001]", "[10.0.0.5:8001]", "no neighbour of its own")]
+#[case::own_neighbour("[10.0.0.6:8001]", "[10.0.0.5:8001]", "cannot be its own neighbour")]
 #[case::share_of_repeats(
     "hall: a",
     "hall: a\nhosting: {announcements: 10.0.0.5:8003, readiness: 10.0.0.5:8004, \
@@ -195,7 +200,7 @@
 #[case::no_workers("hall: a", "hall: a\nworkers: 0", "workers must be from 1 to 64")]
 fn config_refuses(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     let text = SETTINGS.replace(from, to);
-    let errors = Config::parse(Path::new("s.yaml"), text.as_bytes()).expect_err("a mistake");
+    let errors = Config::parse(Path::new("s.yaml"), text.as_bytes()).expect_err("an error");
     assert!(errors.to_string().contains(message), "{errors}");
 }
 
@@ -207,9 +212,9 @@
 #[case::negative("-1.5s", None)]
 #[case::no_unit("2.5", None)]
 #[case::not_a_number("NaN.s", None)]
-fn span_parse(#[case] text: &str, #[case] millis: Option<u64>) {
-    let span = text.parse::<PositiveDuration>().ok();
-    assert_eq!(span, millis.map(PositiveDuration::from_millis));
+fn positive_duration_parse(#[case] text: &str, #[case] millis: Option<u64>) {
+    let duration = text.parse::<PositiveDuration>().ok();
+    assert_eq!(duration, millis.map(PositiveDuration::from_millis));
 }
 
 #[rstest]
