--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon put together.
+//! Assembly of a daemon from its parts.
 
 mod run;
 
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping of a daemon.
+//! Start and stop of a daemon.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -38,20 +38,20 @@
 };
 use crate::web::{Listening, Running, caller_text, listen};
 
-/// How long the platform may take for one request.
+/// Timeout of one request to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a daemon that starts waits at most until it uses the platform's store;
-/// daemons that start together spread over this time.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Upper bound of the random delay after which a starting daemon uses the platform's
+/// store, so that daemons that start together do not all use it at once.
+const MAX_STORE_DELAY: Duration = Duration::from_millis(500);
 
 /// A running daemon.
 pub struct Daemon {
-    stopping: StopParts,
+    parts: StopParts,
     tasks: JoinSet<()>,
     callers: Listening,
     operators: Running,
-    hosted: Vec<Listening>,
-    peers: oneshot::Sender<()>,
+    platform_listeners: Vec<Listening>,
+    stop_peers: oneshot::Sender<()>,
 }
 
 impl Daemon {
@@ -70,7 +70,7 @@
         Self::start_with(config, store, Arc::new(PlatformProtocol), Some(feed)).await
     }
 
-    /// Starts a daemon on a given store.
+    /// Starts a daemon that uses the given store.
     ///
     /// # Errors
     ///
@@ -86,11 +86,11 @@
         feed: Option<Arc<dyn Feed>>,
     ) -> Result<Self, Error> {
         let handle = tokio::runtime::Handle::current();
-        let shared = Arc::new(shared(config, platform, protocol)?);
+        let shared = Arc::new(build_shared(config, platform, protocol)?);
         let guard = Guard::new(Arc::clone(&shared), handle.clone());
         let pool = Arc::new(Pool::new(handle, shared.config.listen.peers.ip()));
         let entry = Entry::new(Arc::clone(&shared), Arc::clone(&guard), Arc::clone(&pool));
-        let (peers, stopped) = oneshot::channel();
+        let (stop_peers, stopped) = oneshot::channel();
         let service = PeerService::new(Arc::clone(&shared), Arc::clone(&guard));
         serve_peers(shared.config.listen.peers, service, stopped).await?;
         let callers = serve_callers(Arc::clone(&entry)).await?;
@@ -100,14 +100,14 @@
             entry: Arc::clone(&entry),
             pool: Arc::clone(&pool),
         })?;
-        let mut hosted = Vec::new();
+        let mut platform_listeners = Vec::new();
         if let Some(hosting) = shared.config.hosting {
             let announcements = hosting.announcements;
-            hosted.push(serve_announcements(announcements, Arc::clone(&guard)).await?);
-            hosted.push(serve_readiness(hosting.readiness, Arc::clone(&shared)).await?);
+            platform_listeners.push(serve_announcements(announcements, Arc::clone(&guard)).await?);
+            platform_listeners.push(serve_readiness(hosting.readiness, Arc::clone(&shared)).await?);
             if let Some(address) = hosting.metrics {
                 let (shared, guard) = (Arc::clone(&shared), Arc::clone(&guard));
-                hosted.push(serve_metrics(address, shared, guard).await?);
+                platform_listeners.push(serve_metrics(address, shared, guard).await?);
             }
         }
         let mut tasks = JoinSet::new();
@@ -133,7 +133,7 @@
         let service = shared.config.service.as_str();
         spdlog::info!("daemon runs", kv: { instance = instance.as_str(), service });
         Ok(Self {
-            stopping: StopParts {
+            parts: StopParts {
                 shared,
                 entry,
                 guard,
@@ -142,43 +142,43 @@
             tasks,
             callers,
             operators,
-            hosted,
-            peers,
+            platform_listeners,
+            stop_peers,
         })
     }
 
     /// Returns the shared tables.
     pub fn shared(&self) -> &Arc<Shared> {
-        &self.stopping.shared
+        &self.parts.shared
     }
 
     /// Returns the guard.
     pub fn guard(&self) -> &Arc<Guard> {
-        &self.stopping.guard
+        &self.parts.guard
     }
 
-    /// Stops as planned; returns whether no call was cut.
+    /// Stops as planned; returns whether all calls ended.
     ///
-    /// Calls that have not ended when `hurry` is told are cut.
-    pub async fn stop(mut self, hurry: impl Future<Output = ()>) -> bool {
+    /// Calls that have not ended when `interrupt` resolves are cut off.
+    pub async fn stop(mut self, interrupt: impl Future<Output = ()>) -> bool {
         self.callers.close_kept();
-        let drained = stop(&self.stopping, hurry).await;
-        self.hosted.clear();
+        let drained = stop(&self.parts, interrupt).await;
+        self.platform_listeners.clear();
         self.tasks.abort_all();
-        let _ = self.peers.send(());
+        let _ = self.stop_peers.send(());
         let mut operators = self.operators;
         let stopped = tokio::task::spawn_blocking(move || operators.stop());
         let _ = stopped.await;
         drained
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops immediately, as a crash would.
     pub fn kill(mut self) {
         self.tasks.abort_all();
     }
 }
 
-/// Serves counters and histograms as text.
+/// Serves the metrics as text.
 async fn serve_metrics(
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -197,18 +197,18 @@
     .await
 }
 
-/// Returns how long a daemon waits until it uses the platform's store. One that is
-/// told of others gives them time to start, too.
-fn patience(config: &Config) -> Duration {
-    let spread = PATIENCE.mul_f64(rand::rng().random());
+/// Returns how long a daemon waits before it uses the platform's store. One with
+/// configured neighbours gives them time to start, too.
+fn store_delay(config: &Config) -> Duration {
+    let spread = MAX_STORE_DELAY.mul_f64(rand::rng().random());
     if config.neighbours.is_empty() {
         spread
     } else {
-        PATIENCE + spread
+        MAX_STORE_DELAY + spread
     }
 }
 
-fn shared(
+fn build_shared(
     config: Config,
     platform: Arc<dyn Platform>,
     protocol: Arc<dyn Protocol>,
@@ -224,7 +224,7 @@
         slots: None,
     };
     let allowed = config.hosting.map(|hosting| hosting.retry_allowance);
-    let patience = patience(&config);
+    let store_delay = store_delay(&config);
     Ok(Shared {
         instance,
         current: CurrentConfiguration::default(),
@@ -250,7 +250,7 @@
         quarantine_notify: Notify::new(),
         refresh_notify: Notify::new(),
         store_role: watch::Sender::new(StoreRole::None),
-        role_tracker: Mutex::new(RoleTracker::new(Instant::now(), patience)),
+        role_tracker: Mutex::new(RoleTracker::new(Instant::now(), store_delay)),
         member_row: Mutex::default(),
         readiness: Readiness::default(),
         pending_peers: Mutex::new(BTreeSet::new()),
