--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! Acceptance of a new version of the configuration.
+//! Application of a new version of the configuration.
 
 use bytes::Bytes;
 
@@ -10,8 +10,8 @@
 use crate::tables::{Shared, unix_ms};
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
 
-/// Stores a new version; accepted means that the conditional write of its row
-/// is known to have taken effect.
+/// Stores a new version. It is accepted once the conditional write of its row is known
+/// to have succeeded.
 pub async fn apply(shared: &Shared, request: ApplyRequest) -> ApplyResult {
     if let Err(e) = join(&request.documents) {
         return refused(e.to_string());
@@ -20,8 +20,8 @@
         Ok(row) => row,
         Err(e) => return refused(format!("{e}; nothing was written, apply again later")),
     };
-    let (condition, current) = match before(row) {
-        Ok(before) => before,
+    let (condition, current) = match write_condition(row) {
+        Ok(condition) => condition,
         Err(result) => return result,
     };
     if let Some(current) = &current {
@@ -29,14 +29,14 @@
             let version = current.version;
             return ApplyResult::Accepted { version };
         }
-        if let Some(version) = settled_before(shared, current, &request.change).await {
+        if let Some(version) = find_accepted(shared, current, &request.change).await {
             return ApplyResult::Accepted { version };
         }
         if current.version != request.base {
             return conflict(shared, &request, current).await;
         }
     } else if request.base != Version::NONE {
-        return refused("the platform holds no configuration; apply with --base 0");
+        return refused("the platform stores no configuration; apply with --base 0");
     }
     accept(shared, request, condition, current).await
 }
@@ -49,7 +49,7 @@
     }
 }
 
-fn before(row: Option<Row>) -> Result<(Condition, Option<CurrentRow>), ApplyResult> {
+fn write_condition(row: Option<Row>) -> Result<(Condition, Option<CurrentRow>), ApplyResult> {
     let Some(row) = row else {
         return Ok((Condition::Absent, None));
     };
@@ -59,11 +59,11 @@
     }
 }
 
-/// Looks whether the change was accepted some versions ago.
-async fn settled_before(shared: &Shared, current: &CurrentRow, change: &str) -> Option<Version> {
-    const LOOK_BACK: usize = 16;
+/// Returns the version that a change made, if it is among the latest ones.
+async fn find_accepted(shared: &Shared, current: &CurrentRow, change: &str) -> Option<Version> {
+    const MAX_VERSIONS_CHECKED: usize = 16;
     let mut next = Some(current.manifest.clone());
-    for _ in 0..LOOK_BACK {
+    for _ in 0..MAX_VERSIONS_CHECKED {
         let content = shared.platform.get(next?.as_str()).await.ok()??;
         let manifest = Manifest::decode(&content).ok()?;
         if *manifest.change == *change {
@@ -74,7 +74,7 @@
     None
 }
 
-/// Says what another operator changed meanwhile.
+/// Reports what another operator has changed in the meantime.
 async fn conflict(shared: &Shared, request: &ApplyRequest, current: &CurrentRow) -> ApplyResult {
     let theirs = fetch_version(shared, &current.manifest).await;
     let ours = version_documents(shared, request.base, &current.manifest).await;
@@ -85,7 +85,7 @@
     let changes: Vec<Box<str>> = changes.iter().map(|c| c.to_string().into()).collect();
     ApplyResult::Refused {
         reason: format!(
-            "version {} was applied since version {}; look at its changes and apply again with \
+            "version {} was applied since version {}; review its changes and apply again with \
              --base {}",
             current.version, request.base, current.version
         )
@@ -147,17 +147,23 @@
             let author = &*request.author;
             spdlog::info!("configuration accepted", kv: { version = version.get(), author });
             if let Err(e) = apply_configuration(shared, manifest, request.documents) {
-                spdlog::error!("cannot put it in force", kv: { cause = e.to_string().as_str() });
+                spdlog::error!(
+                    "cannot apply accepted configuration",
+                    kv: { cause = e.to_string().as_str() }
+                );
             }
             ApplyResult::Accepted { version }
         }
-        Settled::Lost(_) => refused("another operator was quicker; look at bramleyctl diff"),
+        Settled::Lost(_) => {
+            refused("another operator applied a version first; see bramleyctl diff")
+        }
         Settled::NotSent(reason) => refused(format!("the platform cannot be reached: {reason}")),
         Settled::Unsettled(reason) => ApplyResult::Unknown { reason },
     }
 }
 
-/// Stores documents and manifest; storing them without a version does no harm.
+/// Stores the documents and the manifest; without a row that names them they have no
+/// effect.
 async fn store(
     shared: &Shared,
     documents: &[Document],
@@ -178,16 +184,16 @@
     put(shared, hash, manifest.into()).await
 }
 
-/// Stores one object, and again if the answer was lost.
+/// Stores one object; tries again if the write fails.
 async fn put(shared: &Shared, hash: &Hash, content: Bytes) -> Result<(), WriteError> {
-    const TRIES: usize = 3;
+    const MAX_ATTEMPTS: usize = 3;
     let mut result = Ok(());
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         result = shared.platform.put(hash.as_str(), content.clone()).await;
         if result.is_ok() {
             break;
         }
-        // The answer may be lost though the object is there.
+        // The write may have succeeded although its answer was lost.
         if let Ok(Some(found)) = shared.platform.get(hash.as_str()).await
             && found == content
         {
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the operators' interface, in JSON.
+//! JSON messages of the operators' interface.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,41 +7,41 @@
 use crate::model::{CentreName, Instance, ServiceName, Version};
 use crate::policy::member::MemberState;
 
-/// Asks for a change of the configuration.
+/// Requests a change of the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Identifies the change; asking again with the same one settles it.
+    /// Identifies the change; a repeated request with the same value is applied once.
     pub change: Box<str>,
     /// Who applies it.
     pub author: Box<str>,
-    /// The version that the change was made from.
+    /// The version that the change is based on.
     pub base: Version,
-    /// The whole new configuration.
+    /// The complete new configuration.
     pub documents: Vec<Document>,
 }
 
-/// What became of a change.
+/// The result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum ApplyResult {
-    /// It is accepted and will never be taken back.
+    /// The change is accepted for good.
     Accepted {
         /// Its version.
         version: Version,
     },
-    /// It is not accepted and never will be.
+    /// The change is refused for good.
     Refused {
-        /// Why.
+        /// The reason.
         #[serde(rename = "why")]
         reason: Box<str>,
-        /// The version that stands in its place, if another was quicker.
+        /// The current version, if another change was applied first.
         current: Option<Version>,
         /// What the other operator changed.
         changes: Vec<Box<str>>,
     },
-    /// It may have been accepted; asking again settles it.
+    /// The change may have been accepted; a repeated request gives the result.
     Unknown {
-        /// Why.
+        /// The reason.
         #[serde(rename = "why")]
         reason: Box<str>,
     },
@@ -56,7 +56,7 @@
     pub documents: Vec<Document>,
 }
 
-/// One version of the past.
+/// One version in the history.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HistoryEntry {
     /// The version.
@@ -73,7 +73,7 @@
     pub changed: Vec<DocumentName>,
 }
 
-/// One member as a daemon knows it.
+/// The status of one member, as known to the daemon that answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its instance.
@@ -84,24 +84,24 @@
     pub service: ServiceName,
     /// Its state.
     pub state: MemberState,
-    /// The configuration that it runs, if it said so when it was asked.
+    /// The version that it runs, if it answered the query.
     pub version: Option<Version>,
-    /// What its answers take now as a multiple of its service's mean, as the
-    /// daemon that was asked has learned it.
+    /// Its latency relative to the mean of its service, as measured by the daemon that
+    /// answers.
     #[serde(rename = "pace", default, skip_serializing_if = "Option::is_none")]
     pub latency_ratio: Option<f64>,
 }
 
-/// What a daemon says of itself and of the others.
+/// The status of a daemon and of the members that it knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusAnswer {
     /// The daemon that answers.
     pub instance: Instance,
     /// The configuration that it runs.
     pub version: Version,
-    /// Calls at its backend server, calls that wait, and the limit.
+    /// Calls in flight at its backend server, calls that wait, and the limit.
     pub load: (usize, usize, usize),
-    /// Keys in its ledger, and bytes that they take.
+    /// Number of keys in its ledger, and their size in bytes.
     pub ledger: (usize, usize),
     /// Connections to other daemons.
     pub connections: usize,
@@ -109,10 +109,10 @@
     pub members: Vec<MemberStatus>,
 }
 
-/// Figures per class and per caller.
+/// Metrics by class and by caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TopAnswer {
-    /// Calls at the backend server, calls that wait, and the limit.
+    /// Calls in flight at the backend server, calls that wait, and the limit.
     pub load: (usize, usize, usize),
     /// By class.
     pub classes: Vec<MetricsRow>,
@@ -120,7 +120,7 @@
     pub callers: Vec<MetricsRow>,
 }
 
-/// What a backend server says when it announces itself.
+/// The announcement of a backend server.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceRequest {
@@ -129,7 +129,7 @@
     pub cold: bool,
 }
 
-/// An idempotency key that can be used now.
+/// An idempotency key that is valid now.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TicketAnswer {
     /// The key.
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' interface, and announcements of the own backend server.
+//! The operators' interface, which also receives announcements of the local backend
+//! server.
 
 mod apply;
 mod message;
--- a/src/operator/page.rs
+++ b/src/operator/page.rs
@@ -1,4 +1,4 @@
-//! The page that shows the histograms now.
+//! The HTML page that shows the current load and metrics.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 
 use super::TopAnswer;
 
-/// Writes the page.
+/// Renders the page.
 pub(super) fn page(top: &TopAnswer) -> String {
     let (in_flight, waiting, limit) = top.load;
     let mut page = String::from(
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -1,4 +1,4 @@
-//! Serving of the operators' interface by HTTP.
+//! HTTP server of the operators' interface.
 
 use std::sync::Arc;
 
@@ -26,16 +26,16 @@
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
 use crate::web::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
 
-/// Largest request, in bytes.
-const MAX_REQUEST: usize = 16 * 1024 * 1024;
-/// Versions that a history shows.
+/// Maximum size of a request.
+const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum number of versions in a history.
 const MAX_HISTORY: usize = 50;
 
-/// Members that are asked at one time for the version that they run; it bounds
-/// the connections that one question of an operator opens.
-const ASKED_AT_ONCE: usize = 64;
+/// Maximum number of members that are queried concurrently for their version. It limits
+/// the connections that one status request opens.
+const MAX_QUERIES: usize = 64;
 
-/// What the operators' interface works on.
+/// Serves the operators' interface.
 #[derive(Clone)]
 pub struct OperatorService {
     /// The shared tables.
@@ -44,7 +44,7 @@
     pub guard: Arc<Guard>,
     /// The entry.
     pub entry: Arc<Entry>,
-    /// Connections to others.
+    /// Connections to other daemons.
     pub pool: Arc<Pool>,
 }
 
@@ -83,9 +83,9 @@
 
     async fn status(&self) -> StatusAnswer {
         let known: Vec<Member> = self.shared.view.lock().members().cloned().collect();
-        let lines = known.into_iter().map(|member| self.line(member));
-        let members = futures_util::stream::iter(lines)
-            .buffered(ASKED_AT_ONCE)
+        let statuses = known.into_iter().map(|member| self.member_status(member));
+        let members = futures_util::stream::iter(statuses)
+            .buffered(MAX_QUERIES)
             .collect()
             .await;
         StatusAnswer {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Tells of one member; asks it which version it runs, if it runs.
-    async fn line(&self, member: Member) -> MemberStatus {
+    /// Returns the status of one member; queries its version unless it is silent or gone.
+    async fn member_status(&self, member: Member) -> MemberStatus {
         let version = match member.instance {
             own if own == self.shared.instance => Some(self.shared.current.version()),
             _ if member.state >= MemberState::Silent => None,
@@ -175,7 +175,7 @@
             };
             let manifest = Manifest::decode(&content)?;
             if let (Some(later), Some(entry)) = (&later, entries.last_mut()) {
-                entry.changed = changed(&manifest, later);
+                entry.changed = changed_documents(&manifest, later);
             }
             entries.push(HistoryEntry {
                 version: manifest.version,
@@ -200,7 +200,7 @@
     }
 
     async fn apply(&self, body: RequestBody) -> HttpResponse {
-        match read::<ApplyRequest>(body).await {
+        match read_json::<ApplyRequest>(body).await {
             Ok(request) => answer_json(StatusCode::OK, &apply(&self.shared, request).await),
             Err(why) => answer_text(StatusCode::BAD_REQUEST, why),
         }
@@ -216,12 +216,12 @@
                 let key = key.to_string().into();
                 answer_json(StatusCode::OK, &TicketAnswer { key })
             }
-            None => answer_text(StatusCode::SERVICE_UNAVAILABLE, "no server takes calls"),
+            None => answer_text(StatusCode::SERVICE_UNAVAILABLE, "no server accepts calls"),
         }
     }
 
     async fn announce(&self, body: RequestBody) -> HttpResponse {
-        match read::<AnnounceRequest>(body).await {
+        match read_json::<AnnounceRequest>(body).await {
             Ok(announce) => {
                 self.guard.renew_lease(announce.cold);
                 answer_text(StatusCode::OK, "announced\n")
@@ -236,7 +236,7 @@
     }
 }
 
-fn changed(before: &Manifest, after: &Manifest) -> Vec<crate::declare::DocumentName> {
+fn changed_documents(before: &Manifest, after: &Manifest) -> Vec<crate::declare::DocumentName> {
     let gone = before
         .documents
         .keys()
@@ -255,18 +255,18 @@
     answer_text(StatusCode::NOT_FOUND, "no such resource\n")
 }
 
-/// Reads a JSON body; an empty one counts as `{}`.
-async fn read<T: DeserializeOwned>(mut body: RequestBody) -> Result<T, String> {
+/// Parses a JSON body; an empty body is read as `{}`.
+async fn read_json<T: DeserializeOwned>(mut body: RequestBody) -> Result<T, String> {
     let mut whole = Vec::new();
     while let Some(chunk) = body.data().await {
         let chunk = chunk.map_err(|e| e.to_string())?;
         whole.extend_from_slice(&chunk);
-        if whole.len() > MAX_REQUEST {
+        if whole.len() > MAX_REQUEST_BYTES {
             return Err("the request is larger than 16 MiB".into());
         }
     }
     let content: &[u8] = if whole.is_empty() { b"{}" } else { &whole };
-    serde_json::from_slice(content).map_err(|e| format!("not understood: {e}\n"))
+    serde_json::from_slice(content).map_err(|e| format!("invalid request: {e}\n"))
 }
 
 /// Serves the operators' interface.
