--- a/src/metrics/histogram.rs
+++ b/src/metrics/histogram.rs
@@ -1,4 +1,4 @@
-//! Histograms of latency, bounded in number.
+//! Latency histograms by name, with a limit on the number of names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use super::CallStatus;
 
-/// Longest latency that is told apart, in microseconds.
+/// Longest latency that a histogram resolves, in microseconds.
 const MAX_US: u64 = 120_000_000;
-/// Most rows of one table; further names count as the last one.
+/// Maximum number of named rows in a table; further names are counted as `OVERFLOW_NAME`.
 const MAX_ROWS: usize = 256;
-/// The row of names past the bound.
-const OVERFLOW: &str = "others";
+/// The row that counts all names beyond `MAX_ROWS`.
+const OVERFLOW_NAME: &str = "others";
 
-/// By what calls are grouped.
+/// The grouping of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// By class of work.
@@ -25,7 +25,7 @@
     Caller,
 }
 
-struct Cell {
+struct CallStats {
     latency: Option<Histogram<u64>>,
     complete: u64,
     shed: u64,
@@ -33,7 +33,7 @@
     retries: u64,
 }
 
-impl Cell {
+impl CallStats {
     fn new() -> Self {
         Self {
             latency: Histogram::new_with_bounds(1, MAX_US, 2).ok(),
@@ -45,82 +45,82 @@
     }
 }
 
-/// The figures of one class or caller since the daemon started.
+/// The metrics of one class or caller since the daemon started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetricsRow {
     /// The class or caller.
     pub name: Box<str>,
-    /// Calls answered whole.
+    /// Calls with a complete answer.
     #[serde(rename = "whole")]
     pub complete: u64,
-    /// Calls shed.
+    /// Calls that were shed.
     pub shed: u64,
-    /// Calls that failed in another way.
+    /// Calls that failed for other reasons.
     pub failed: u64,
-    /// Retries made.
+    /// Retries.
     pub retries: u64,
-    /// Median latency of whole answers, in microseconds.
+    /// Median latency of complete answers, in microseconds.
     pub p50_us: u64,
-    /// Latency of 99 in 100 whole answers, in microseconds.
+    /// 99th percentile of the latency of complete answers, in microseconds.
     pub p99_us: u64,
-    /// Greatest latency of whole answers, in microseconds.
+    /// Maximum latency of complete answers, in microseconds.
     pub max_us: u64,
 }
 
-/// Figures by name, bounded in number whatever callers send.
+/// Metrics by name. The number of names is limited, whatever callers send.
 #[derive(Default)]
 pub struct MetricsTable {
-    cells: Mutex<BTreeMap<Box<str>, Cell>>,
+    stats_by_name: Mutex<BTreeMap<Box<str>, CallStats>>,
 }
 
 impl MetricsTable {
-    /// Counts a call that ended.
+    /// Records a call that ended.
     pub fn record(&self, name: &str, status: CallStatus, latency: Duration, retries: u32) {
-        let mut cells = self.cells.lock();
-        let name = if cells.contains_key(name) || cells.len() < MAX_ROWS {
+        let mut stats_by_name = self.stats_by_name.lock();
+        let name = if stats_by_name.contains_key(name) || stats_by_name.len() < MAX_ROWS {
             name
         } else {
-            OVERFLOW
+            OVERFLOW_NAME
         };
-        if !cells.contains_key(name) {
-            cells.insert(name.into(), Cell::new());
+        if !stats_by_name.contains_key(name) {
+            stats_by_name.insert(name.into(), CallStats::new());
         }
-        let Some(cell) = cells.get_mut(name) else {
+        let Some(stats) = stats_by_name.get_mut(name) else {
             return;
         };
-        cell.retries += u64::from(retries);
+        stats.retries += u64::from(retries);
         match status {
             CallStatus::Complete => {
-                cell.complete += 1;
+                stats.complete += 1;
                 let us = u64::try_from(latency.as_micros()).unwrap_or(MAX_US);
-                if let Some(histogram) = &mut cell.latency {
+                if let Some(histogram) = &mut stats.latency {
                     histogram.saturating_record(us.clamp(1, MAX_US));
                 }
             }
-            CallStatus::Shed => cell.shed += 1,
-            CallStatus::Failed => cell.failed += 1,
+            CallStatus::Shed => stats.shed += 1,
+            CallStatus::Failed => stats.failed += 1,
         }
     }
 
     /// Returns all rows.
     pub fn rows(&self) -> Vec<MetricsRow> {
-        self.cells
+        self.stats_by_name
             .lock()
             .iter()
-            .map(|(name, cell)| MetricsRow {
+            .map(|(name, stats)| MetricsRow {
                 name: name.clone(),
-                complete: cell.complete,
-                shed: cell.shed,
-                failed: cell.failed,
-                retries: cell.retries,
-                p50_us: quantile(cell, 0.5),
-                p99_us: quantile(cell, 0.99),
-                max_us: cell.latency.as_ref().map_or(0, Histogram::max),
+                complete: stats.complete,
+                shed: stats.shed,
+                failed: stats.failed,
+                retries: stats.retries,
+                p50_us: quantile(stats, 0.5),
+                p99_us: quantile(stats, 0.99),
+                max_us: stats.latency.as_ref().map_or(0, Histogram::max),
             })
             .collect()
     }
 }
 
-fn quantile(cell: &Cell, q: f64) -> u64 {
-    cell.latency.as_ref().map_or(0, |h| h.value_at_quantile(q))
+fn quantile(stats: &CallStats, q: f64) -> u64 {
+    stats.latency.as_ref().map_or(0, |h| h.value_at_quantile(q))
 }
--- a/src/metrics/metric.rs
+++ b/src/metrics/metric.rs
@@ -1,4 +1,4 @@
-//! What is counted of each call.
+//! Metrics of calls, and their export by UDP.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use super::{Group, MetricsRow, MetricsTable};
 use crate::error::Error;
 
-/// What all names begin with.
-const PREFIX: &str = "bramleymount";
-/// Lines that wait for the metrics socket; more are dropped.
-const QUEUE: usize = 4096;
+/// Prefix of all metric names.
+const NAME_PREFIX: &str = "bramleymount";
+/// Maximum number of lines that wait for the metrics socket; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// How a call ended at the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallStatus {
-    /// With the backend server's whole answer.
+    /// The backend server's answer is complete.
     Complete,
-    /// It was shed.
+    /// The call was shed.
     Shed,
-    /// In any other way.
+    /// The call failed for another reason.
     Failed,
 }
 
@@ -36,18 +36,18 @@
 
 /// Counters and histograms of one daemon.
 pub struct Metrics {
-    /// Set if there is an address to send to; no line is made up otherwise.
+    /// Set if there is an address to send to; without one no line is formatted.
     client: Option<StatsdClient>,
     classes: MetricsTable,
     callers: MetricsTable,
 }
 
 impl Metrics {
-    /// Sends metrics to `address` by UDP, or nowhere.
+    /// Creates the metrics; sends them to `address` by UDP, if given.
     ///
     /// # Errors
     ///
-    /// Fails if no UDP socket can be had.
+    /// Fails if no UDP socket can be opened.
     pub fn new(address: Option<SocketAddr>) -> Result<Self, Error> {
         let client = match address {
             Some(address) => {
@@ -56,8 +56,8 @@
                 socket.set_nonblocking(true).map_err(failed)?;
                 let sink = BufferedUdpMetricSink::from(address, socket)
                     .map_err(|e| Error::remote(format!("metrics: {e}")))?;
-                let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
-                Some(StatsdClient::from_sink(PREFIX, sink))
+                let sink = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_LINES);
+                Some(StatsdClient::from_sink(NAME_PREFIX, sink))
             }
             None => None,
         };
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Counts a call that ended at the entry.
+    /// Records a call that ended at the entry.
     pub fn record_call(
         &self,
         class: &str,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Counts an event under a fixed name.
+    /// Counts an event.
     pub fn count(&self, name: &'static str) {
         if let Some(client) = &self.client {
             let _ = client.count(name, 1);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the histograms of a group.
+    /// Returns the metrics by class or by caller.
     pub fn rows(&self, group: Group) -> Vec<MetricsRow> {
         match group {
             Group::Class => self.classes.rows(),
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Counters by `cadence`, and histograms per class and per caller.
+//! Metrics of calls: counters sent by `cadence`, and histograms by class and caller.
 
 mod histogram;
 mod metric;
--- a/src/metrics/workspaces.rs
+++ b/src/metrics/workspaces.rs
@@ -1,21 +1,21 @@
-//! Figures by workspace as text that scrapers read.
+//! Metrics by workspace in the text format of scrapers.
 
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The names of the figures by workspace, with unit and meaning.
+/// The names of the metrics by workspace and their help texts.
 pub const WORKSPACE_NAMES: [(&str, &str); 2] = [
     (
         "bramleymount_workspace_slot_milliseconds_total",
-        "slot time of the backend server by workspace, of those with most",
+        "slot time at the backend server by workspace, for those with the most",
     ),
     (
         "bramleymount_workspace_shed_total",
-        "calls shed by the guard by workspace, of those with most slot time",
+        "calls shed by the guard by workspace, for those with the most slot time",
     ),
 ];
 
-/// What one workspace had of the slots.
+/// The slot usage of one workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkspaceRow {
     /// Its name; empty for calls without a workspace.
@@ -26,18 +26,18 @@
     pub shed: u64,
 }
 
-/// Writes the figures by workspace; nothing if there are none.
+/// Formats the metrics by workspace; empty if there are none.
 pub fn workspace_page(rows: &[WorkspaceRow]) -> String {
     let mut text = String::new();
     if rows.is_empty() {
         return text;
     }
-    for (place, (name, meaning)) in WORKSPACE_NAMES.iter().enumerate() {
+    for (index, (name, help)) in WORKSPACE_NAMES.iter().enumerate() {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "# HELP {name} {meaning}\n# TYPE {name} counter");
+        let _ = writeln!(text, "# HELP {name} {help}\n# TYPE {name} counter");
         for row in rows {
-            let label = escaped(&row.name);
-            let value = match place {
+            let label = escape_label(&row.name);
+            let value = match index {
                 0 => row.time.as_millis(),
                 _ => u128::from(row.shed),
             };
@@ -47,6 +47,6 @@
     text
 }
 
-fn escaped(name: &str) -> String {
+fn escape_label(name: &str) -> String {
     name.replace('\\', "\\\\").replace('"', "\\\"")
 }
--- a/tests/metrics_page.rs
+++ b/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page of figures, and the page on it.
+//! The metrics page and its documentation.
 
 #![allow(missing_docs)]
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn page_gives_figures_by_class() {
+fn page_lists_metrics_by_class() {
     let metrics = Metrics::new(None).expect("metrics");
     let latency = Duration::from_millis(20);
     metrics.record_call("rank-0", "other", CallStatus::Complete, latency, 1);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn page_is_bounded_whatever_is_counted() {
+fn page_limits_number_of_classes() {
     let metrics = Metrics::new(None).expect("metrics");
     for n in 0..1000 {
         let name = format!("class-{n}");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn page_names_are_those_of_the_operators_page() {
+fn page_metrics_are_documented() {
     let text = read("docs/operate/metrics.md");
     for (name, _) in METRIC_NAMES {
         assert!(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn settings_template_makes_settings_that_are_accepted() {
+fn settings_template_yields_valid_settings() {
     let text = read("deploy/settings.yaml")
         .replace("{{zone}}", "hall-a")
         .replace("{{upstream}}", "huvo11a")
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn page_of_workspaces_gives_time_and_sheds() {
+fn workspace_page_lists_slot_time_and_sheds() {
     let row = WorkspaceRow {
         name: "no\"rth".into(),
         time: Duration::from_millis(1500),
