--- a/src/bin/bramleyctl/args.rs
+++ b/src/bin/bramleyctl/args.rs
@@ -8,8 +8,8 @@
 
 /// Operates an estate of bramleymount daemons.
 ///
-/// Exit codes: 0 done; 1 refused or not healthy; 2 wrong input; 3 no answer;
-/// 4 unknown, settle it with the command that is printed.
+/// Exit codes: 0 done; 1 refused or not healthy; 2 invalid input; 3 no answer;
+/// 4 unknown, resolve it with the command that is printed.
 #[derive(FromArgs)]
 pub(crate) struct Args {
     #[argh(subcommand)]
@@ -53,8 +53,8 @@
     pub(crate) dir: PathBuf,
 
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
 
 /// Store a directory as a new version. Example: bramleyctl apply estate/ --to 127.0.0.1:8002
@@ -66,14 +66,14 @@
     pub(crate) dir: PathBuf,
 
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 
-    /// version that the change was made from; the one in force if left out
+    /// version that the change is based on; the active one if left out
     #[argh(option)]
     pub(crate) base: Option<Version>,
 
-    /// id of the change, to settle an earlier try
+    /// id of the change, to repeat one whose result is unknown
     #[argh(option)]
     pub(crate) change: Option<String>,
 
@@ -82,13 +82,13 @@
     pub(crate) author: Option<String>,
 }
 
-/// Show who runs which version, where. Example: bramleyctl status --to 127.0.0.1:8002
+/// Show all daemons with their state and version. Example: bramleyctl status --to 127.0.0.1:8002
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
 
 /// Show past versions. Example: bramleyctl history --to 127.0.0.1:8002
@@ -96,8 +96,8 @@
 #[argh(subcommand, name = "history")]
 pub(crate) struct History {
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
 
 /// Apply the content of a past version as a new one. Example: bramleyctl rollback 7 --to 127.0.0.1:8002
@@ -109,24 +109,24 @@
     pub(crate) version: Version,
 
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 
     /// who applies it; the user's name if left out
     #[argh(option)]
     pub(crate) author: Option<String>,
 }
 
-/// Let the backend server of one daemon take no new calls. Example: bramleyctl drain --to 127.0.0.1:8002
+/// Stop new calls to the backend server of one daemon. Example: bramleyctl drain --to 127.0.0.1:8002
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Drain {
     /// operators' address of that daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
 
-/// Show what decided on a call, where and why. Example: bramleyctl explain ID --to 127.0.0.1:8002
+/// Show the decisions on a call and their reasons. Example: bramleyctl explain ID --to 127.0.0.1:8002
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
@@ -134,9 +134,9 @@
     #[argh(positional)]
     pub(crate) call: CallId,
 
-    /// operators' address of the daemon that took the call
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    /// operators' address of the daemon that accepted the call
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
 
 /// Show goodput, shed calls, limit and retries, live. Example: bramleyctl top --to 127.0.0.1:8002
@@ -144,19 +144,19 @@
 #[argh(subcommand, name = "top")]
 pub(crate) struct Top {
     /// operators' address of a daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 
-    /// seconds between two looks
-    #[argh(option, default = "1")]
-    pub(crate) every: u64,
+    /// seconds between two samples
+    #[argh(option, long = "every", default = "1")]
+    pub(crate) interval_secs: u64,
 
-    /// number of looks; without end if left out
-    #[argh(option)]
-    pub(crate) looks: Option<u64>,
+    /// number of samples; unlimited if left out
+    #[argh(option, long = "looks")]
+    pub(crate) samples: Option<u64>,
 }
 
-/// Issue an idempotency key that works in any outage. Example: bramleyctl ticket pass-sales --to 127.0.0.1:8002
+/// Issue an idempotency key that works during outages. Example: bramleyctl ticket pass-sales --to 127.0.0.1:8002
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ticket")]
 pub(crate) struct Ticket {
@@ -165,6 +165,6 @@
     pub(crate) service: bramleymount::model::ServiceName,
 
     /// operators' address of any daemon
-    #[argh(option)]
-    pub(crate) to: SocketAddr,
+    #[argh(option, long = "to")]
+    pub(crate) address: SocketAddr,
 }
--- a/src/bin/bramleyctl/client.rs
+++ b/src/bin/bramleyctl/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the operators' interface of a daemon.
+//! Client of a daemon's operators' interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// How long a daemon may take, its platform included.
-const TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// Timeout of one request, including requests of the daemon to its platform.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// A daemon that is asked.
-pub(crate) struct Remote {
+/// Sends requests to one daemon.
+pub(crate) struct DaemonClient {
     client: Client,
     address: SocketAddr,
 }
 
-impl Remote {
+impl DaemonClient {
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
-            client: Client::new(TIMEOUT, MAX_ANSWER),
+            client: Client::new(REQUEST_TIMEOUT, MAX_ANSWER_BYTES),
             address,
         }
     }
 
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let body = self.send(Method::GET, path, Bytes::new()).await;
-        self.decode(&body.map_err(|e| self.failed(&e))?)
+        self.decode(&body.map_err(|e| self.connection_error(&e))?)
     }
 
-    /// Sends a change; the outer error says that it may have arrived.
+    /// Sends a change. The outer error means that the change may have arrived.
     pub(crate) async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -44,19 +44,21 @@
         let body = serde_json::to_vec(body).unwrap_or_default();
         match self.send(Method::POST, path, body.into()).await {
             Ok(answer) => Ok(self.decode(&answer)),
-            Err(ClientError::Connect(cause)) => Ok(Err(self.failed(&ClientError::Connect(cause)))),
-            Err(lost) => Err(lost),
+            Err(ClientError::Connect(cause)) => {
+                Ok(Err(self.connection_error(&ClientError::Connect(cause))))
+            }
+            Err(error) => Err(error),
         }
     }
 
     /// Sends a request without a body and returns the answer's text.
     pub(crate) async fn post_empty(&self, path: &str) -> Result<String, Error> {
         let body = self.send(Method::POST, path, Bytes::new()).await;
-        let body = body.map_err(|e| self.failed(&e))?;
+        let body = body.map_err(|e| self.connection_error(&e))?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    fn failed(&self, e: &ClientError) -> Error {
+    fn connection_error(&self, e: &ClientError) -> Error {
         Error::remote(format!(
             "daemon {} does not answer ({e}); check the address and whether it runs",
             self.address
@@ -69,7 +71,7 @@
         *request.method_mut() = method;
         *request.uri_mut() = uri
             .parse()
-            .map_err(|_| ClientError::Connect("bad address".into()))?;
+            .map_err(|_| ClientError::Connect("invalid address".into()))?;
         let answer = self.client.send(request).await?;
         if !answer.status.is_success() {
             let text = String::from_utf8_lossy(&answer.body).trim().to_owned();
@@ -81,11 +83,7 @@
     }
 
     fn decode<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, Error> {
-        serde_json::from_slice(body).map_err(|e| {
-            Error::remote(format!(
-                "the answer of {} makes no sense: {e}",
-                self.address
-            ))
-        })
+        serde_json::from_slice(body)
+            .map_err(|e| Error::remote(format!("the answer of {} is invalid: {e}", self.address)))
     }
 }
--- a/src/bin/bramleyctl/controller.rs
+++ b/src/bin/bramleyctl/controller.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Execution of the commands.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -14,29 +14,29 @@
 use serde::Serialize;
 
 use crate::args::{Apply, Args, Check, Command, Diff, Drain, Explain, Rollback, Ticket, Top};
-use crate::client::Remote;
+use crate::client::DaemonClient;
 use crate::printer;
 
-/// How a command ended.
+/// Exit code of a command.
 #[derive(Clone, Copy)]
-enum End {
+enum ExitStatus {
     Done = 0,
     Refused = 1,
-    Wrong = 2,
+    InvalidInput = 2,
     NoAnswer = 3,
     Unknown = 4,
 }
 
-/// A command that did not come to its end, with what to print.
-struct Failed {
-    end: End,
+/// An error that ends a command, and the text to print.
+struct CommandError {
+    status: ExitStatus,
     text: String,
 }
 
-impl From<Error> for Failed {
+impl From<Error> for CommandError {
     fn from(error: Error) -> Self {
         Self {
-            end: End::NoAnswer,
+            status: ExitStatus::NoAnswer,
             text: error.to_string(),
         }
     }
@@ -51,31 +51,31 @@
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("cannot start: {e}");
-            return ExitCode::from(End::Wrong as u8);
+            return ExitCode::from(ExitStatus::InvalidInput as u8);
         }
     };
-    let end = match runtime.block_on(command(args)) {
-        Ok(end) => end,
-        Err(failed) => {
-            eprintln!("{}", failed.text);
-            failed.end
+    let status = match runtime.block_on(command(args)) {
+        Ok(status) => status,
+        Err(error) => {
+            eprintln!("{}", error.text);
+            error.status
         }
     };
-    ExitCode::from(end as u8)
+    ExitCode::from(status as u8)
 }
 
-async fn command(args: Args) -> Result<End, Failed> {
+async fn command(args: Args) -> Result<ExitStatus, CommandError> {
     let json = args.json;
     match args.command {
         Command::Check(args) => check(&args, json),
         Command::Diff(args) => show_diff(&args, json).await,
         Command::Apply(args) => apply(args, json).await,
         Command::Status(args) => {
-            let answer: StatusAnswer = Remote::new(args.to).get("status").await?;
+            let answer: StatusAnswer = DaemonClient::new(args.address).get("status").await?;
             show(json, &answer, || printer::status(&answer))
         }
         Command::History(args) => {
-            let entries: Vec<HistoryEntry> = Remote::new(args.to).get("history").await?;
+            let entries: Vec<HistoryEntry> = DaemonClient::new(args.address).get("history").await?;
             show(json, &entries, || printer::history(&entries))
         }
         Command::Rollback(args) => rollback(args, json).await,
@@ -86,40 +86,44 @@
     }
 }
 
-fn show<T: Serialize>(json: bool, value: &T, text: impl FnOnce() -> String) -> Result<End, Failed> {
+fn show<T: Serialize>(
+    json: bool,
+    value: &T,
+    text: impl FnOnce() -> String,
+) -> Result<ExitStatus, CommandError> {
     if json {
         println!("{}", serde_json::to_string(value).unwrap_or_default());
     } else {
         print!("{}", text());
     }
-    Ok(End::Done)
+    Ok(ExitStatus::Done)
 }
 
-/// A message in JSON, where a command has nothing else to say.
+/// The JSON output of commands that print only a message.
 #[derive(Serialize)]
 struct Message<'a> {
     message: &'a str,
 }
 
-fn documents(dir: &Path) -> Result<Vec<Document>, Failed> {
+fn documents(dir: &Path) -> Result<Vec<Document>, CommandError> {
     match load(dir) {
         Ok(estate) => Ok(split(&estate)),
-        Err(errors) => Err(Failed {
-            end: End::Wrong,
+        Err(errors) => Err(CommandError {
+            status: ExitStatus::InvalidInput,
             text: errors.to_string(),
         }),
     }
 }
 
-fn check(args: &Check, json: bool) -> Result<End, Failed> {
+fn check(args: &Check, json: bool) -> Result<ExitStatus, CommandError> {
     let documents = documents(&args.dir)?;
     let text = format!("{}: ok, {} documents", args.dir.display(), documents.len());
     show(json, &Message { message: &text }, || format!("{text}\n"))
 }
 
-async fn show_diff(args: &Diff, json: bool) -> Result<End, Failed> {
+async fn show_diff(args: &Diff, json: bool) -> Result<ExitStatus, CommandError> {
     let ours = documents(&args.dir)?;
-    let current: ConfigAnswer = Remote::new(args.to).get("config").await?;
+    let current: ConfigAnswer = DaemonClient::new(args.address).get("config").await?;
     let changes: Vec<String> = diff(&current.documents, &ours)
         .iter()
         .map(ToString::to_string)
@@ -134,9 +138,9 @@
     })
 }
 
-async fn apply(args: Apply, json: bool) -> Result<End, Failed> {
+async fn apply(args: Apply, json: bool) -> Result<ExitStatus, CommandError> {
     let documents = documents(&args.dir)?;
-    let remote = Remote::new(args.to);
+    let remote = DaemonClient::new(args.address);
     let base = match args.base {
         Some(base) => base,
         None => remote.get::<ConfigAnswer>("config").await?.version,
@@ -144,10 +148,10 @@
     let change = args
         .change
         .unwrap_or_else(|| uuid::Uuid::now_v7().to_string());
-    let settle = format!(
+    let next_command = format!(
         "bramleyctl apply {} --to {} --base {base} --change {change}",
         args.dir.display(),
-        args.to
+        args.address
     );
     let request = ApplyRequest {
         change: change.into(),
@@ -155,15 +159,15 @@
         base,
         documents,
     };
-    send_change(&remote, &request, &settle, json).await
+    send_change(&remote, &request, &next_command, json).await
 }
 
-async fn rollback(args: Rollback, json: bool) -> Result<End, Failed> {
-    let remote = Remote::new(args.to);
+async fn rollback(args: Rollback, json: bool) -> Result<ExitStatus, CommandError> {
+    let remote = DaemonClient::new(args.address);
     let entries: Vec<HistoryEntry> = remote.get("history").await?;
     let Some(entry) = entries.iter().find(|e| e.version == args.version) else {
-        return Err(Failed {
-            end: End::Wrong,
+        return Err(CommandError {
+            status: ExitStatus::InvalidInput,
             text: format!(
                 "version {} is not in the history; see bramleyctl history",
                 args.version
@@ -180,8 +184,8 @@
         base,
         documents: old.documents,
     };
-    let settle = format!("bramleyctl history --to {}", args.to);
-    send_change(&remote, &request, &settle, json).await
+    let next_command = format!("bramleyctl history --to {}", args.address);
+    send_change(&remote, &request, &next_command, json).await
 }
 
 fn author(given: Option<String>) -> Box<str> {
@@ -192,19 +196,21 @@
 }
 
 async fn send_change(
-    remote: &Remote,
+    remote: &DaemonClient,
     request: &ApplyRequest,
-    settle: &str,
+    next_command: &str,
     json: bool,
-) -> Result<End, Failed> {
+) -> Result<ExitStatus, CommandError> {
     let result = match remote.post::<_, ApplyResult>("apply", request).await {
         Ok(result) => result?,
-        Err(lost) => ApplyResult::Unknown {
-            reason: lost.to_string().into(),
+        Err(error) => ApplyResult::Unknown {
+            reason: error.to_string().into(),
         },
     };
-    let (end, text) = match &result {
-        ApplyResult::Accepted { version } => (End::Done, format!("accepted: version {version}\n")),
+    let (status, text) = match &result {
+        ApplyResult::Accepted { version } => {
+            (ExitStatus::Done, format!("accepted: version {version}\n"))
+        }
         ApplyResult::Refused {
             reason, changes, ..
         } => {
@@ -212,52 +218,52 @@
             for change in changes {
                 text.push_str(&format!("  {change}\n"));
             }
-            (End::Refused, text)
+            (ExitStatus::Refused, text)
         }
         ApplyResult::Unknown { reason } => (
-            End::Unknown,
-            format!("unknown: {reason}\nsettle it with: {settle}\n"),
+            ExitStatus::Unknown,
+            format!("unknown: {reason}\nresolve it with: {next_command}\n"),
         ),
     };
     show(json, &result, || text)?;
-    Ok(end)
+    Ok(status)
 }
 
-async fn drain(args: &Drain, json: bool) -> Result<End, Failed> {
-    let answer = Remote::new(args.to).post_empty("drain").await?;
+async fn drain(args: &Drain, json: bool) -> Result<ExitStatus, CommandError> {
+    let answer = DaemonClient::new(args.address).post_empty("drain").await?;
     let message = answer.trim();
     show(json, &Message { message }, || format!("{message}\n"))
 }
 
-async fn explain(args: &Explain, json: bool) -> Result<End, Failed> {
+async fn explain(args: &Explain, json: bool) -> Result<ExitStatus, CommandError> {
     let path = format!("explain/{}", args.call);
-    let notes: Vec<JournalEntry> = Remote::new(args.to).get(&path).await?;
-    show(json, &notes, || printer::notes(&notes))
+    let entries: Vec<JournalEntry> = DaemonClient::new(args.address).get(&path).await?;
+    show(json, &entries, || printer::journal(&entries))
 }
 
-async fn ticket(args: &Ticket, json: bool) -> Result<End, Failed> {
+async fn ticket(args: &Ticket, json: bool) -> Result<ExitStatus, CommandError> {
     let path = format!("tickets/{}", args.service);
-    let text = Remote::new(args.to).post_empty(&path).await?;
+    let text = DaemonClient::new(args.address).post_empty(&path).await?;
     let answer: TicketAnswer = serde_json::from_str(&text)
-        .map_err(|e| Error::remote(format!("the answer makes no sense: {e}")))?;
+        .map_err(|e| Error::remote(format!("the answer is invalid: {e}")))?;
     show(json, &answer, || format!("{}\n", answer.key))
 }
 
-async fn top(args: &Top, json: bool) -> Result<End, Failed> {
-    let remote = Remote::new(args.to);
-    let every = Duration::from_secs(args.every.max(1));
+async fn top(args: &Top, json: bool) -> Result<ExitStatus, CommandError> {
+    let remote = DaemonClient::new(args.address);
+    let interval = Duration::from_secs(args.interval_secs.max(1));
     let mut before: Option<TopAnswer> = None;
-    let mut look = 0;
-    while args.looks.is_none_or(|looks| look < looks) {
-        if look > 0 {
-            tokio::time::sleep(every).await;
+    let mut sample = 0;
+    while args.samples.is_none_or(|samples| sample < samples) {
+        if sample > 0 {
+            tokio::time::sleep(interval).await;
         }
         let now: TopAnswer = remote.get("top").await?;
         show(json, &now, || {
-            printer::top(&now, before.as_ref(), every.as_secs_f64())
+            printer::top(&now, before.as_ref(), interval.as_secs_f64())
         })?;
         before = Some(now);
-        look += 1;
+        sample += 1;
     }
-    Ok(End::Done)
+    Ok(ExitStatus::Done)
 }
--- a/src/bin/bramleyctl/main.rs
+++ b/src/bin/bramleyctl/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! The operators' command-line tool.
 
 #![deny(unsafe_code)]
 
--- a/src/bin/bramleyctl/printer.rs
+++ b/src/bin/bramleyctl/printer.rs
@@ -1,4 +1,4 @@
-//! What the tool prints.
+//! Text output of the commands.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use bramleymount::operator::{HistoryEntry, StatusAnswer, TopAnswer};
 use bramleymount::tables::JournalEntry;
 
-/// Lays members out by data centre and service.
+/// Formats the members, sorted by data centre and service.
 pub(crate) fn status(answer: &StatusAnswer) -> String {
     let mut text = String::new();
     let mut members = answer.members.clone();
@@ -34,19 +34,19 @@
                 .map_or("-".into(), |ratio| format!("{ratio:.2}"))
         );
     }
-    let told: Vec<_> = members.iter().filter_map(|m| m.version).collect();
-    let newest = told.iter().copied().max().unwrap_or_default();
-    let behind = told.iter().filter(|version| **version < newest).count();
+    let versions: Vec<_> = members.iter().filter_map(|m| m.version).collect();
+    let newest = versions.iter().copied().max().unwrap_or_default();
+    let behind = versions.iter().filter(|version| **version < newest).count();
     let _ = writeln!(
         text,
-        "{} daemons, newest version {newest}, {behind} behind it, {} did not say",
+        "{} daemons, newest version {newest}, {behind} behind it, {} did not answer",
         members.len(),
-        members.len() - told.len()
+        members.len() - versions.len()
     );
     text
 }
 
-/// Lists versions, newest first.
+/// Formats the versions, newest first.
 pub(crate) fn history(entries: &[HistoryEntry]) -> String {
     let mut text = String::new();
     for entry in entries {
@@ -64,22 +64,22 @@
     text
 }
 
-/// Lists what was decided on a call.
-pub(crate) fn notes(notes: &[JournalEntry]) -> String {
-    let Some(first) = notes.first() else {
-        return "nothing is known here of this call; ask the daemon that took it\n".into();
+/// Formats the journal entries of a call.
+pub(crate) fn journal(entries: &[JournalEntry]) -> String {
+    let Some(first) = entries.first() else {
+        return "this daemon has no record of the call; ask the daemon that accepted it\n".into();
     };
     let mut text = String::new();
-    for note in notes {
-        let step = serde_json::to_string(&note.step).unwrap_or_default();
-        let after = note.unix_ms.saturating_sub(first.unix_ms);
+    for entry in entries {
+        let step = serde_json::to_string(&entry.step).unwrap_or_default();
+        let after = entry.unix_ms.saturating_sub(first.unix_ms);
         let step = step.trim_matches('"');
-        let _ = writeln!(text, "{after:>6} ms  {step:<10} {}", note.detail);
+        let _ = writeln!(text, "{after:>6} ms  {step:<10} {}", entry.detail);
     }
     text
 }
 
-/// Shows figures per class and caller; `before` gives rates.
+/// Formats the metrics by class and caller; rates are relative to `before`.
 pub(crate) fn top(now: &TopAnswer, before: Option<&TopAnswer>, secs: f64) -> String {
     let (in_flight, waiting, limit) = now.load;
     let mut text = format!("in flight {in_flight} of {limit}, waiting {waiting}\n");
--- a/src/bin/bramleymountd/args.rs
+++ b/src/bin/bramleymountd/args.rs
@@ -12,11 +12,11 @@
     #[argh(positional)]
     pub(crate) settings: std::path::PathBuf,
 
-    /// check the settings file and end
+    /// check the settings file and exit
     #[argh(switch)]
     pub(crate) check: bool,
 
-    /// form of log lines, text or json; goes before the settings
+    /// format of log lines, text or json; goes before the settings
     #[argh(option)]
     pub(crate) log_format: Option<LogFormat>,
 }
--- a/src/bin/bramleymountd/controller.rs
+++ b/src/bin/bramleymountd/controller.rs
@@ -1,4 +1,4 @@
-//! What the daemon does from start to end.
+//! Start, signal handling and stop of the daemon.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,13 +12,13 @@
 
 use crate::args::Args;
 
-/// Settings or addresses are wrong.
-const WRONG: u8 = 2;
-/// Calls were cut at the end.
-const CUT: u8 = 3;
+/// Exit code if settings or addresses are invalid.
+const INVALID_SETTINGS_CODE: u8 = 2;
+/// Exit code if calls were cut off by the stop.
+const CALLS_CUT_CODE: u8 = 3;
 
-/// How often the settings are looked at without a signal.
-const LOOK: Duration = Duration::from_secs(30);
+/// Interval at which the settings are read without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Runs the daemon and returns its exit code.
 pub(crate) fn run(args: &Args) -> ExitCode {
@@ -26,7 +26,7 @@
         Ok(config) => config,
         Err(errors) => {
             eprintln!("{errors}");
-            return ExitCode::from(WRONG);
+            return ExitCode::from(INVALID_SETTINGS_CODE);
         }
     };
     if args.check {
@@ -35,10 +35,10 @@
     }
     match serve(args, config) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(CUT),
+        Ok(false) => ExitCode::from(CALLS_CUT_CODE),
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(WRONG)
+            ExitCode::from(INVALID_SETTINGS_CODE)
         }
     }
 }
@@ -55,17 +55,17 @@
         let mut term = signal(SignalKind::terminate()).map_err(failed)?;
         let mut int = signal(SignalKind::interrupt()).map_err(failed)?;
         let hup = signal(SignalKind::hangup()).map_err(failed)?;
-        let watched = tokio::spawn(watch_settings(settings, config.clone(), hup));
+        let watcher = tokio::spawn(watch_settings(settings, config.clone(), hup));
         let daemon = Daemon::start(config).await?;
-        either(&mut term, &mut int).await;
-        watched.abort();
-        Ok(daemon.stop(either(&mut term, &mut int)).await)
+        stop_signal(&mut term, &mut int).await;
+        watcher.abort();
+        Ok(daemon.stop(stop_signal(&mut term, &mut int)).await)
     })
 }
 
 /// Builds the runtime that serves callers, other daemons and the platform.
 ///
-/// One worker is the calling thread itself, which saves handing calls over
+/// A single worker is the calling thread itself, which avoids handing calls over
 /// between threads.
 fn runtime(workers: usize) -> Result<Runtime, Error> {
     let mut builder = if workers <= 1 {
@@ -81,21 +81,22 @@
         .map_err(|e| Error::io("start worker threads", e))
 }
 
-/// Reads the settings anew at each hang-up signal and now and then, for ever.
+/// Reads the settings at each hang-up signal and at regular intervals.
 ///
-/// What is wrong changes nothing and is logged; what has changed is logged
-/// with the word that it holds from the next start.
+/// Invalid and changed settings are only logged; changes take effect at the next start.
 async fn watch_settings(path: PathBuf, mut known: Config, mut hup: Signal) {
     loop {
-        let told = tokio::time::timeout(LOOK, hup.recv()).await.is_ok();
+        let signalled = tokio::time::timeout(RELOAD_INTERVAL, hup.recv())
+            .await
+            .is_ok();
         match Config::read(&path) {
             Ok(config) if config == known => {
-                if told {
+                if signalled {
                     spdlog::info!("reload: settings unchanged");
                 }
             }
             Ok(config) => {
-                spdlog::warn!("reload: settings changed; they hold from the next start");
+                spdlog::warn!("reload: settings changed; they take effect at the next start");
                 known = config;
             }
             Err(errors) => {
@@ -106,7 +107,7 @@
     }
 }
 
-async fn either(term: &mut Signal, int: &mut Signal) {
+async fn stop_signal(term: &mut Signal, int: &mut Signal) {
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
--- a/src/error.rs
+++ b/src/error.rs
@@ -7,35 +7,35 @@
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// An input file is wrong at a known place.
+    /// An input file is invalid at a known line.
     Input {
         /// The file that was read.
         file: Box<str>,
-        /// The line, counted from 1; 0 if the whole file is meant.
+        /// The line, counted from 1; 0 for the whole file.
         line: u64,
-        /// What is wrong and what to write instead.
+        /// The error and its correction.
         message: Box<str>,
     },
-    /// A text is not a valid value of its type.
+    /// A text is not a valid value of its kind.
     Value {
         /// The kind of value that was expected.
         kind: &'static str,
-        /// What is wrong and what to write instead.
+        /// The error and its correction.
         message: Box<str>,
     },
     /// A file or socket could not be used.
     Io {
-        /// What was being done.
+        /// The action that failed.
         action: Box<str>,
-        /// The cause given by the operating system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A remote side refused or could not be reached.
+    /// A remote system refused a request or could not be reached.
     Remote(Box<str>),
 }
 
 impl Error {
-    /// Reports a mistake in `file` at `line`.
+    /// Creates an error in `file` at `line`.
     pub fn input(file: &Path, line: u64, message: impl Into<Box<str>>) -> Self {
         Self::Input {
             file: file.display().to_string().into(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reports a text that is no valid `kind`.
+    /// Creates an error for a text that is not a valid `kind`.
     pub fn value(kind: &'static str, message: impl Into<Box<str>>) -> Self {
         Self::Value {
             kind,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reports an operating system error met while doing `action`.
+    /// Creates an error for an `action` that the operating system failed.
     pub fn io(action: impl Into<Box<str>>, source: std::io::Error) -> Self {
         Self::Io {
             action: action.into(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reports a refusal or failure of a remote side.
+    /// Creates an error for a refusal or failure of a remote system.
     pub fn remote(message: impl Into<Box<str>>) -> Self {
         Self::Remote(message.into())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Overload control layer for service call graphs.
 //!
-//! One daemon stands on every backend server VM. Its *entry* takes calls and
-//! picks a backend server; its *guard* admits calls to the one backend server
-//! of its VM. Decisions are in [`policy`] and perform no I/O.
+//! One daemon runs on every backend server VM. Its *entry* accepts requests from callers
+//! and selects a backend server; its *guard* admits calls to the backend server of its
+//! own VM. The modules in [`policy`] make the decisions and perform no I/O.
 
 #![deny(unsafe_code)]
 
