--- a/examples/soak/backend.rs
+++ b/examples/soak/backend.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bramleymount::web::{CallerAnswer, Client, Listening, caller_text, listen};
+use bramleymount::web::{CallerAnswer, Client, HttpListener, caller_text, listen};
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -66,7 +66,7 @@
 /// What ends with a run of the server.
 #[derive(Debug)]
 struct Running {
-    _listening: Listening,
+    _listening: HttpListener,
     beats: JoinHandle<()>,
 }
 
@@ -158,7 +158,7 @@
     }
 
     /// Listens; the port may be that of a run whose end is under way.
-    async fn listen(&self) -> eyre::Result<Listening> {
+    async fn listen(&self) -> eyre::Result<HttpListener> {
         let mut tries = 0;
         loop {
             let shared = Arc::clone(&self.shared);
--- a/examples/soak/caller.rs
+++ b/examples/soak/caller.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bramleymount::web::{Connections, Dial, Keep, RequestError};
+use bramleymount::web::{ConnectionPool, Dialer, PoolLimits, RequestError};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request};
 use http_body_util::{BodyExt, Full};
@@ -50,7 +50,7 @@
     vm: usize,
     name: String,
     rng: StdRng,
-    connections: Connections<Full<Bytes>>,
+    connections: ConnectionPool<Full<Bytes>>,
     record: Arc<Record>,
 }
 
@@ -62,21 +62,21 @@
         at: &Addresses,
         record: Arc<Record>,
     ) -> Self {
-        let dial = Dial {
+        let dial = Dialer {
             address: at.callers,
-            own: None,
+            local_ip: None,
             timeout: Duration::from_secs(1),
-            unacknowledged: None,
+            ack_timeout: None,
         };
-        let keep = Keep {
-            most: 1,
-            idle: Duration::from_secs(60),
+        let keep = PoolLimits {
+            max_idle: 1,
+            idle_timeout: Duration::from_secs(60),
         };
         Self {
             vm,
             name: format!("c{vm}x{place}"),
             rng: StdRng::seed_from_u64(seed ^ (vm * 1000 + place) as u64),
-            connections: Connections::new(dial, keep),
+            connections: ConnectionPool::new(dial, keep),
             record,
         }
     }
@@ -142,7 +142,7 @@
         let answer = match self.connections.request(request).await {
             Ok(answer) => answer,
             Err(RequestError::Connect(_)) => return End::Unreached,
-            Err(RequestError::Lost(_)) => return End::Cut,
+            Err(RequestError::NoAnswer(_)) => return End::Cut,
         };
         let (head, body) = answer.into_parts();
         let Ok(body) = body.collect().await else {
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -36,7 +36,7 @@
     StopParts, gossip, keep_member_row, keep_ownership, keep_store_role, keep_suspect_rows,
     log_load, poll_configuration, refresh_targets, report_demand, stop, watch_lease,
 };
-use crate::web::{Listening, Running, caller_text, listen};
+use crate::web::{HttpListener, ThreadedServer, caller_text, listen};
 
 /// How long the platform may take for one request.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -48,9 +48,9 @@
 pub struct Daemon {
     stopping: StopParts,
     tasks: JoinSet<()>,
-    callers: Listening,
-    operators: Running,
-    hosted: Vec<Listening>,
+    callers: HttpListener,
+    operators: ThreadedServer,
+    hosted: Vec<HttpListener>,
     peers: oneshot::Sender<()>,
 }
 
@@ -161,7 +161,7 @@
     ///
     /// Calls that have not ended when `hurry` is told are cut.
     pub async fn stop(mut self, hurry: impl Future<Output = ()>) -> bool {
-        self.callers.close_kept();
+        self.callers.disable_keep_alive();
         let drained = stop(&self.stopping, hurry).await;
         self.hosted.clear();
         self.tasks.abort_all();
@@ -183,7 +183,7 @@
     address: SocketAddr,
     shared: Arc<Shared>,
     guard: Arc<Guard>,
-) -> Result<Listening, Error> {
+) -> Result<HttpListener, Error> {
     listen(address, move |_, _| {
         let gauges = Gauges {
             load: guard.gate().load(),
--- a/src/emulator/backend.rs
+++ b/src/emulator/backend.rs
@@ -16,7 +16,7 @@
 use crate::call::CALL_HEADER;
 use crate::error::Error;
 use crate::model::ServiceName;
-use crate::web::{Client, HttpRequest, HttpResponse, Running, answer_text, serve};
+use crate::web::{Client, HttpRequest, HttpResponse, ThreadedServer, answer_text, serve};
 
 /// The header that an emulated backend server gives back in its answer.
 pub const TAG: HeaderName = HeaderName::from_static("x-tag");
@@ -69,7 +69,7 @@
 /// A running backend server.
 pub struct BackendServer {
     state: Arc<State>,
-    _running: Running,
+    _running: ThreadedServer,
 }
 
 impl BackendServer {
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use crate::web::{Chunks, Cut, Payload, SMALL_BODY};
+use crate::web::{Chunks, IncompleteBody, MAX_WHOLE_BODY, Payload};
 
 /// Largest body of a once call, in bytes; it is held whole.
 const MAX_ONCE_BODY_BYTES: usize = 1024 * 1024;
@@ -38,7 +38,7 @@
     let limit = if must_buffer {
         MAX_ONCE_BODY_BYTES
     } else {
-        SMALL_BODY
+        MAX_WHOLE_BODY
     };
     let large = length.is_some_and(|n| n > limit as u64);
     if large && must_buffer {
@@ -92,7 +92,7 @@
     buffered: Bytes,
     mut body: Incoming,
     length: Option<u64>,
-    sender: mpsc::Sender<Result<Bytes, Cut>>,
+    sender: mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) {
     let mut received_bytes = buffered.len() as u64;
     if !buffered.is_empty() && sender.send(Ok(buffered)).await.is_err() {
@@ -100,12 +100,12 @@
     }
     while let Some(chunk) = next_chunk(&mut body).await {
         let Ok(chunk) = chunk else {
-            let _ = sender.send(Err(Cut)).await;
+            let _ = sender.send(Err(IncompleteBody)).await;
             return;
         };
         received_bytes += chunk.len() as u64;
         if received_bytes > MAX_BODY_BYTES {
-            let _ = sender.send(Err(Cut)).await;
+            let _ = sender.send(Err(IncompleteBody)).await;
             return;
         }
         if !chunk.is_empty() && sender.send(Ok(chunk)).await.is_err() {
@@ -113,7 +113,7 @@
         }
     }
     let end = match length {
-        Some(length) if length != received_bytes => Err(Cut),
+        Some(length) if length != received_bytes => Err(IncompleteBody),
         _ => Ok(Bytes::new()),
     };
     let _ = sender.send(end).await;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -12,17 +12,17 @@
 use super::arrival::Arrival;
 use super::route_match::may_repeat;
 use crate::error::Error;
-use crate::web::{Listening, Serve, Work, listen_ahead};
+use crate::web::{AnswerFuture, HttpListener, RequestHandler, listen_pipelined};
 
 /// Serves callers by HTTP.
 ///
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub async fn serve_callers(entry: Arc<Entry>) -> Result<Listening, Error> {
+pub async fn serve_callers(entry: Arc<Entry>) -> Result<HttpListener, Error> {
     let config = &entry.context.shared.config;
     let (address, ahead) = (config.listen.callers, config.ahead);
-    listen_ahead(address, ahead, CallerService(entry)).await
+    listen_pipelined(address, ahead, CallerService(entry)).await
 }
 
 /// The requests of callers.
@@ -48,14 +48,19 @@
         }
     }
 
-    fn start(&self, arrival: Arrival, from: SocketAddr) -> Work {
+    fn start(&self, arrival: Arrival, from: SocketAddr) -> AnswerFuture {
         // Put on the heap at once: it is large, and would be copied thrice.
         Box::pin(Arc::clone(&self.0).handle(arrival, from.ip()))
     }
 }
 
-impl Serve for CallerService {
-    fn serve(&self, request: Request<Incoming>, arrived_at: Instant, from: SocketAddr) -> Work {
+impl RequestHandler for CallerService {
+    fn serve(
+        &self,
+        request: Request<Incoming>,
+        arrived_at: Instant,
+        from: SocketAddr,
+    ) -> AnswerFuture {
         let (parts, body) = request.into_parts();
         let body = Some(body);
         self.start(
@@ -68,7 +73,12 @@
         )
     }
 
-    fn begin(&self, parts: Parts, arrived_at: Instant, from: SocketAddr) -> Option<Work> {
+    fn start_early(
+        &self,
+        parts: Parts,
+        arrived_at: Instant,
+        from: SocketAddr,
+    ) -> Option<AnswerFuture> {
         if !self.may_start(&parts) {
             return None;
         }
--- a/src/guard/backend.rs
+++ b/src/guard/backend.rs
@@ -14,9 +14,12 @@
 
 use crate::call::CallHead;
 use crate::model::{CrashId, ServerId};
-use crate::web::{Chunks, Connections, Cut, Dial, Keep, Payload, RequestError, SMALL_BODY};
+use crate::web::{
+    Chunks, ConnectionPool, Dialer, IncompleteBody, MAX_WHOLE_BODY, Payload, PoolLimits,
+    RequestError,
+};
 
-type RequestBody = UnsyncBoxBody<Bytes, Cut>;
+type RequestBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 
 /// Maximum number of idle connections to the backend server.
 const MAX_IDLE_CONNECTIONS: usize = 256;
@@ -63,24 +66,24 @@
 /// HTTP client of the backend server.
 #[derive(Debug)]
 pub struct Backend {
-    connections: Connections<RequestBody>,
+    connections: ConnectionPool<RequestBody>,
 }
 
 impl Backend {
     /// Creates a client of the backend server at `address`.
     pub fn new(address: SocketAddr) -> Self {
-        let dial = Dial {
+        let dial = Dialer {
             address,
-            own: None,
+            local_ip: None,
             timeout: CONNECT_TIMEOUT,
-            unacknowledged: None,
+            ack_timeout: None,
         };
-        let keep = Keep {
-            most: MAX_IDLE_CONNECTIONS,
-            idle: IDLE_TIMEOUT,
+        let keep = PoolLimits {
+            max_idle: MAX_IDLE_CONNECTIONS,
+            idle_timeout: IDLE_TIMEOUT,
         };
         Self {
-            connections: Connections::new(dial, keep),
+            connections: ConnectionPool::new(dial, keep),
         }
     }
 
@@ -113,7 +116,7 @@
     pub(super) async fn has_no_listener(&self) -> bool {
         match self.connections.open().await {
             Err(RequestError::Connect(e)) => is_refused(&e),
-            Err(RequestError::Lost(_)) | Ok(()) => false,
+            Err(RequestError::NoAnswer(_)) | Ok(()) => false,
         }
     }
 }
@@ -137,8 +140,10 @@
             BackendError::NoListener(e.to_string().into())
         }
         RequestError::Connect(e) => BackendError::Connect(e.to_string().into()),
-        RequestError::Lost(e) if e.is_parse() => BackendError::InvalidAnswer(e.to_string().into()),
-        RequestError::Lost(e) => BackendError::ConnectionLost(e.to_string().into()),
+        RequestError::NoAnswer(e) if e.is_parse() => {
+            BackendError::InvalidAnswer(e.to_string().into())
+        }
+        RequestError::NoAnswer(e) => BackendError::ConnectionLost(e.to_string().into()),
     }
 }
 
@@ -163,7 +168,7 @@
 
 /// Reads the complete body of an answer if it is small.
 pub(super) async fn read_small(mut body: Incoming) -> Result<AnswerBody, BackendError> {
-    if body.size_hint().lower() > SMALL_BODY as u64 {
+    if body.size_hint().lower() > MAX_WHOLE_BODY as u64 {
         return Ok(AnswerBody::Large(Bytes::new(), body));
     }
     let known = body.size_hint().exact().unwrap_or_default();
@@ -173,7 +178,7 @@
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
         }
-        if whole.len() > SMALL_BODY {
+        if whole.len() > MAX_WHOLE_BODY {
             return Ok(AnswerBody::Large(whole.freeze(), body));
         }
     }
@@ -184,14 +189,14 @@
 pub(super) async fn copy_body(
     first: Bytes,
     mut body: Incoming,
-    to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>,
+    to: &tokio::sync::mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) -> bool {
     if !first.is_empty() && !send_chunk(to, first).await {
         return false;
     }
     while let Ok(Some(frame)) = tokio::time::timeout(PROGRESS_TIMEOUT, body.frame()).await {
         let Ok(frame) = frame else {
-            let _ = to.send(Err(Cut)).await;
+            let _ = to.send(Err(IncompleteBody)).await;
             return false;
         };
         let Ok(data) = frame.into_data() else {
@@ -208,7 +213,10 @@
 }
 
 /// Sends a chunk; returns whether the receiver took it in time.
-async fn send_chunk(to: &tokio::sync::mpsc::Sender<Result<Bytes, Cut>>, chunk: Bytes) -> bool {
+async fn send_chunk(
+    to: &tokio::sync::mpsc::Sender<Result<Bytes, IncompleteBody>>,
+    chunk: Bytes,
+) -> bool {
     matches!(
         tokio::time::timeout(PROGRESS_TIMEOUT, to.send(Ok(chunk))).await,
         Ok(Ok(()))
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -24,7 +24,7 @@
 use crate::policy::member::{Member, MemberState};
 use crate::tables::Shared;
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
-use crate::web::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
+use crate::web::{HttpRequest, HttpResponse, ThreadedServer, answer_json, answer_text, serve};
 
 /// Largest request, in bytes.
 const MAX_REQUEST: usize = 16 * 1024 * 1024;
@@ -274,7 +274,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve_operators(operator: Operator) -> Result<Running, Error> {
+pub fn serve_operators(operator: Operator) -> Result<ThreadedServer, Error> {
     let address = operator.shared.config.listen.operators;
     serve(address, 1, move |request| operator.clone().handle(request))
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -20,7 +20,7 @@
 use crate::call::{Attempt, Planned, Reason, Refusal, Reply, Sent};
 use crate::model::{AttemptId, Instance, OnceKey, ServiceName};
 use crate::policy::admission::Shed;
-use crate::web::{Chunks, Cut, Payload};
+use crate::web::{Chunks, IncompleteBody, Payload};
 
 /// How long the other daemon may take to say that a call has arrived. It does
 /// so at once; a daemon whose share of its core is used up pauses for a tenth
@@ -321,7 +321,10 @@
 }
 
 /// Takes a streamed answer in; it counts as whole only if its tail fits.
-async fn receive_chunks(mut frames: Streaming<AnswerFrame>, to: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn receive_chunks(
+    mut frames: Streaming<AnswerFrame>,
+    to: mpsc::Sender<Result<Bytes, IncompleteBody>>,
+) {
     let mut checksum = BodyChecksum::default();
     loop {
         let part = match frames.message().await {
@@ -334,7 +337,7 @@
                 Ok(chunk)
             }
             Some(AnswerPart::Tail(tail)) if checksum.matches(&tail) => Ok(Bytes::new()),
-            _ => Err(Cut),
+            _ => Err(IncompleteBody),
         };
         let last = !matches!(&item, Ok(chunk) if !chunk.is_empty());
         if to.send(item).await.is_err() || last {
--- a/src/peer/plain_client.rs
+++ b/src/peer/plain_client.rs
@@ -15,7 +15,7 @@
 use super::http_stream::HttpStream;
 use super::message::{encode_body, take_message};
 use super::plain_pool::{PlainPool, RequestError};
-use crate::web::{Chunks, Cut, Dial, Payload};
+use crate::web::{Chunks, Dialer, IncompleteBody, Payload};
 
 /// How long sent bytes may go without an acknowledgement of the other VM; its
 /// daemon may pause, its network stack does not.
@@ -31,11 +31,11 @@
     /// Makes a client of the daemon at `address` whose connections go out from
     /// `own`.
     pub(super) fn new(address: SocketAddr, local_ip: IpAddr) -> Self {
-        let dial = Dial {
+        let dial = Dialer {
             address,
-            own: Some(local_ip),
+            local_ip: Some(local_ip),
             timeout: CONNECT_TIMEOUT,
-            unacknowledged: Some(ACK_TIMEOUT),
+            ack_timeout: Some(ACK_TIMEOUT),
         };
         Self {
             connections: Arc::new(PlainPool::new(dial)),
@@ -125,7 +125,11 @@
 }
 
 /// Takes a streamed answer in; the end of the chunks says that it is whole.
-async fn receive_chunks(mut http: HttpStream, first: Bytes, to: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn receive_chunks(
+    mut http: HttpStream,
+    first: Bytes,
+    to: mpsc::Sender<Result<Bytes, IncompleteBody>>,
+) {
     if !first.is_empty() && to.send(Ok(first)).await.is_err() {
         return;
     }
@@ -134,7 +138,9 @@
             next = http.next_chunk() => next,
             () = to.closed() => return,
         };
-        let item = next.map(Option::unwrap_or_default).map_err(|_| Cut);
+        let item = next
+            .map(Option::unwrap_or_default)
+            .map_err(|_| IncompleteBody);
         let last = !matches!(&item, Ok(chunk) if !chunk.is_empty());
         if to.send(item).await.is_err() || last {
             return;
--- a/src/peer/plain_pool.rs
+++ b/src/peer/plain_pool.rs
@@ -11,7 +11,7 @@
 
 use super::http_head::{ResponseHead, request_head};
 use super::http_stream::HttpStream;
-use crate::web::Dial;
+use crate::web::Dialer;
 
 /// Idle connections that are kept to one daemon.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -55,14 +55,14 @@
 /// have closed or forgotten it.
 #[derive(Debug)]
 pub(super) struct PlainPool {
-    dial: Dial,
+    dial: Dialer,
     host: Box<str>,
     idle: Mutex<VecDeque<IdleConnection>>,
 }
 
 impl PlainPool {
     /// Makes a set without any connection.
-    pub(super) fn new(dial: Dial) -> Self {
+    pub(super) fn new(dial: Dialer) -> Self {
         Self {
             dial,
             host: dial.address.to_string().into(),
--- a/src/peer/plain_server.rs
+++ b/src/peer/plain_server.rs
@@ -21,7 +21,7 @@
 use super::server::PeerService;
 use crate::call::{Attempt, Call, Refusal, Reply};
 use crate::model::{AttemptId, Retries};
-use crate::web::{Chunks, Cut, Payload};
+use crate::web::{Chunks, IncompleteBody, Payload};
 
 /// The answer to a plain request.
 #[derive(Debug)]
@@ -157,7 +157,7 @@
         match next {
             Some(Ok(chunk)) if chunk.is_empty() => {}
             Some(Ok(chunk)) => http.send_chunk(&chunk).await?,
-            Some(Err(Cut)) => return Err(io::ErrorKind::UnexpectedEof.into()),
+            Some(Err(IncompleteBody)) => return Err(io::ErrorKind::UnexpectedEof.into()),
             None => return http.send_chunk(&[]).await,
         }
     }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -27,7 +27,7 @@
 use crate::guard::Guard;
 use crate::model::{AttemptId, Instance, MintTime, OnceKey, Retries};
 use crate::tables::{Shared, mint_now};
-use crate::web::{Chunks, Cut, Payload};
+use crate::web::{Chunks, IncompleteBody, Payload};
 
 /// Frames that wait to be sent.
 const MAX_QUEUED_FRAMES: usize = 8;
@@ -131,7 +131,7 @@
 /// Takes a streamed body in; it counts as whole only if its tail fits.
 async fn receive_chunks(
     mut frames: Streaming<wire::CallFrame>,
-    to: mpsc::Sender<Result<Bytes, Cut>>,
+    to: mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) {
     let mut checksum = BodyChecksum::default();
     loop {
@@ -145,7 +145,7 @@
                 Ok(chunk)
             }
             Some(CallPart::Tail(tail)) if checksum.matches(&tail) => Ok(Bytes::new()),
-            _ => Err(Cut),
+            _ => Err(IncompleteBody),
         };
         let last = !matches!(&item, Ok(chunk) if !chunk.is_empty());
         if to.send(item).await.is_err() || last {
@@ -158,7 +158,7 @@
 /// whole, whose end is yet to arrive.
 fn receive_body(
     frames: Streaming<wire::CallFrame>,
-    body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
+    body: Option<mpsc::Sender<Result<Bytes, IncompleteBody>>>,
 ) -> Option<Streaming<wire::CallFrame>> {
     let Some(sender) = body else {
         return Some(frames);
@@ -171,7 +171,7 @@
 fn confirm(
     questions: mpsc::Sender<Result<wire::AnswerFrame, Status>>,
     mut frames: Streaming<wire::CallFrame>,
-    body: Option<mpsc::Sender<Result<Bytes, Cut>>>,
+    body: Option<mpsc::Sender<Result<Bytes, IncompleteBody>>>,
 ) -> StartConfirmation {
     StartConfirmation::new(move || {
         Box::pin(async move {
--- a/src/platform/beat.rs
+++ b/src/platform/beat.rs
@@ -13,7 +13,7 @@
 use crate::guard::Guard;
 use crate::model::{ServerId, ServerStart, ServiceName, Slots};
 use crate::policy::member::{Announcement, AnnouncementEffect, Intent};
-use crate::web::{CallerAnswer, Listening, caller_text, listen};
+use crate::web::{CallerAnswer, HttpListener, caller_text, listen};
 
 /// What the paths of announcements begin with; the server's id follows.
 const PATH: &str = "/instances/";
@@ -76,7 +76,7 @@
 pub async fn serve_announcements(
     address: SocketAddr,
     guard: Arc<Guard>,
-) -> Result<Listening, Error> {
+) -> Result<HttpListener, Error> {
     listen(address, move |request, _| {
         let guard = Arc::clone(&guard);
         async move { handle(&guard, request).await }
--- a/src/platform/ready.rs
+++ b/src/platform/ready.rs
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 use crate::tables::Shared;
-use crate::web::{Listening, caller_text, listen};
+use crate::web::{HttpListener, caller_text, listen};
 
 const PATH: &str = "/readyz";
 const TEXT: &str = "text/plain; charset=utf-8";
@@ -17,7 +17,10 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub async fn serve_readiness(address: SocketAddr, shared: Arc<Shared>) -> Result<Listening, Error> {
+pub async fn serve_readiness(
+    address: SocketAddr,
+    shared: Arc<Shared>,
+) -> Result<HttpListener, Error> {
     listen(address, move |request, _| {
         let ready = shared.is_ready();
         async move {
--- a/src/platform/rows.rs
+++ b/src/platform/rows.rs
@@ -95,7 +95,7 @@
     async fn change(&self, request: Request<Full<Bytes>>) -> Result<Answer, WriteError> {
         let answer = self.client.send(request).await.map_err(|e| match e {
             ClientError::Connect(cause) => WriteError::NotSent(cause),
-            ClientError::Lost(cause) => WriteError::Unknown(cause),
+            ClientError::NoAnswer(cause) => WriteError::Unknown(cause),
         })?;
         let answer = self.note(answer);
         let cause = || format!("status {}", answer.status).into();
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -73,7 +73,7 @@
             .await
             .map_err(|e| match e {
                 ClientError::Connect(cause) => WriteError::NotSent(cause),
-                ClientError::Lost(cause) => WriteError::Unknown(cause),
+                ClientError::NoAnswer(cause) => WriteError::Unknown(cause),
             })?;
         match answer.status {
             StatusCode::OK | StatusCode::PRECONDITION_FAILED => Ok(answer),
--- a/src/store/standin.rs
+++ b/src/store/standin.rs
@@ -15,7 +15,7 @@
 
 use super::{Condition, Fault, Memory, ObjectStore, Revision, Row, TableStore, WriteError};
 use crate::error::Error;
-use crate::web::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
+use crate::web::{HttpRequest, HttpResponse, ThreadedServer, answer_json, answer_text, serve};
 
 /// Largest content that is taken, in bytes.
 const MAX_CONTENT: usize = 16 * 1024 * 1024;
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve_standin(address: SocketAddr, memory: Arc<Memory>) -> Result<Running, Error> {
+pub fn serve_standin(address: SocketAddr, memory: Arc<Memory>) -> Result<ThreadedServer, Error> {
     serve(address, 1, move |request| {
         let memory = Arc::clone(&memory);
         async move { handle(&memory, request).await }
--- a/src/web/ahead.rs
+++ b/src/web/ahead.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::Serve;
+use super::RequestHandler;
 use super::begun::Begun;
 use super::connection::Connection;
 use super::pipeline::Pipeline;
@@ -21,7 +21,7 @@
     connection: Connection<S>,
 }
 
-impl<S: Serve> Ahead<S> {
+impl<S: RequestHandler> Ahead<S> {
     /// Reads from `stream`.
     pub(super) const fn new(stream: TcpStream, connection: Connection<S>) -> Self {
         Self { stream, connection }
@@ -33,7 +33,7 @@
     }
 
     /// Begins the requests that have come, as far as they may be.
-    fn begin(&self, pipeline: &mut Pipeline) {
+    fn start_early(&self, pipeline: &mut Pipeline) {
         let Connection {
             from,
             handler,
@@ -44,7 +44,7 @@
             && let Some(next) = pipeline.next()
         {
             let what = (next.head.method.clone(), next.head.uri.clone());
-            let work = handler.begin(next.head, next.came, *from);
+            let work = handler.start_early(next.head, next.came, *from);
             let begun = work.map(|work| Begun::new(next.start, what, tokio::spawn(work)));
             pipeline.began(next.start, begun);
         }
@@ -59,7 +59,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        self.begin(pipeline);
+        self.start_early(pipeline);
         while pipeline.has_room() {
             let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(cx, buf) else {
                 break;
@@ -70,7 +70,7 @@
             }
             pipeline.hold(&buf.filled()[before..], Instant::now());
             buf.set_filled(before);
-            self.begin(pipeline);
+            self.start_early(pipeline);
         }
         pipeline.wake_later(cx);
         Poll::Pending
@@ -80,7 +80,7 @@
 /// Nothing of it is pinned in place.
 impl<S> Unpin for Ahead<S> {}
 
-impl<S: Serve> AsyncRead for Ahead<S> {
+impl<S: RequestHandler> AsyncRead for Ahead<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -104,7 +104,7 @@
     }
 }
 
-impl<S: Serve> AsyncWrite for Ahead<S> {
+impl<S: RequestHandler> AsyncWrite for Ahead<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -24,14 +24,14 @@
     /// No connection was made; nothing was sent.
     Connect(Box<str>),
     /// The request may have arrived; no whole answer came.
-    Lost(Box<str>),
+    NoAnswer(Box<str>),
 }
 
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect(cause) => write!(f, "cannot connect: {cause}"),
-            Self::Lost(cause) => write!(f, "no whole answer: {cause}"),
+            Self::NoAnswer(cause) => write!(f, "no whole answer: {cause}"),
         }
     }
 }
@@ -102,14 +102,14 @@
                 if e.is_connect() {
                     ClientError::Connect(cause)
                 } else {
-                    ClientError::Lost(cause)
+                    ClientError::NoAnswer(cause)
                 }
             })?;
             let (head, body) = answer.into_parts();
             let body = Limited::new(body, self.limit)
                 .collect()
                 .await
-                .map_err(|e| ClientError::Lost(e.to_string().into()))?
+                .map_err(|e| ClientError::NoAnswer(e.to_string().into()))?
                 .to_bytes();
             Ok(Answer {
                 status: head.status,
@@ -119,7 +119,7 @@
         };
         match tokio::time::timeout(timeout, whole).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::Lost("timeout".into())),
+            Err(_) => Err(ClientError::NoAnswer("timeout".into())),
         }
     }
 }
--- a/src/web/connection.rs
+++ b/src/web/connection.rs
@@ -20,7 +20,7 @@
 use super::begun::Begun;
 use super::in_turn::InTurn;
 use super::pipeline::Pipeline;
-use super::{CallerAnswer, MAX_HEAD, MAX_HEADERS, Serve, Work, caller_text};
+use super::{AnswerFuture, CallerAnswer, MAX_HEAD, MAX_HEADERS, RequestHandler, caller_text};
 
 /// Bytes of a header's line besides name and value.
 const LINE: usize = 4;
@@ -34,7 +34,7 @@
 enum Answering {
     TooLarge,
     Begun(Begun),
-    Served(Work),
+    Served(AnswerFuture),
 }
 
 /// One connection of a caller.
@@ -47,7 +47,7 @@
     pub(super) closing: watch::Receiver<bool>,
 }
 
-impl<S: Serve> Connection<S> {
+impl<S: RequestHandler> Connection<S> {
     /// Serves the caller until one of both ends the connection.
     pub(super) async fn run(self, stream: TcpStream) {
         if let Err(e) = stream.set_nodelay(true) {
--- a/src/web/connections.rs
+++ b/src/web/connections.rs
@@ -17,7 +17,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use super::Dial;
+use super::Dialer;
 
 /// Largest buffer of a connection, in bytes; it holds the head of an answer
 /// whole, and bodies piece by piece.
@@ -43,25 +43,25 @@
     /// No connection was made; nothing was sent.
     Connect(std::io::Error),
     /// The request may have arrived.
-    Lost(hyper::Error),
+    NoAnswer(hyper::Error),
 }
 
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect(cause) => write!(f, "cannot connect: {cause}"),
-            Self::Lost(cause) => write!(f, "no answer: {cause}"),
+            Self::NoAnswer(cause) => write!(f, "no answer: {cause}"),
         }
     }
 }
 
 /// What is kept of connections that carry no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keep {
+pub struct PoolLimits {
     /// Most connections that are kept.
-    pub most: usize,
+    pub max_idle: usize,
     /// How long one is kept.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A connection that was given back.
@@ -84,24 +84,24 @@
 /// The one used last is used first, since the other end is the least likely to
 /// have closed or forgotten it.
 #[derive(Debug)]
-pub struct Connections<B> {
-    dial: Dial,
-    keep: Keep,
+pub struct ConnectionPool<B> {
+    dial: Dialer,
+    limits: PoolLimits,
     host: HeaderValue,
     idle: Mutex<VecDeque<Idle<B>>>,
 }
 
-impl<B> Connections<B>
+impl<B> ConnectionPool<B>
 where
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     /// Makes a set without any connection.
-    pub fn new(dial: Dial, keep: Keep) -> Self {
+    pub fn new(dial: Dialer, limits: PoolLimits) -> Self {
         let host = HeaderValue::try_from(dial.address.to_string());
         Self {
             dial,
-            keep,
+            limits,
             host: host.unwrap_or_else(|_| HeaderValue::from_static("")),
             idle: Mutex::default(),
         }
@@ -129,14 +129,14 @@
                 Err(mut failed) => match failed.take_message() {
                     // The other end had closed the connection.
                     Some(unsent) => request = unsent,
-                    None => return Err(RequestError::Lost(failed.into_error())),
+                    None => return Err(RequestError::NoAnswer(failed.into_error())),
                 },
             }
         }
         let mut sender = self.connect().await?;
         match sender.send_request(request).await {
             Ok(answer) => Ok(self.answered(sender, answer)),
-            Err(e) => Err(RequestError::Lost(e)),
+            Err(e) => Err(RequestError::NoAnswer(e)),
         }
     }
 
@@ -157,7 +157,7 @@
             .max_buf_size(MAX_BUFFER)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(RequestError::Lost)?;
+            .map_err(RequestError::NoAnswer)?;
         tokio::spawn(async move {
             if let Err(e) = connection.await {
                 spdlog::debug!("connection ended", kv: { cause = e.to_string().as_str() });
@@ -218,15 +218,16 @@
     }
 
     fn close_old(&self, idle: &mut VecDeque<Idle<B>>, now: Instant) {
-        let old = |kept: &Idle<B>| now.saturating_duration_since(kept.since) > self.keep.idle;
-        while idle.len() > self.keep.most || idle.front().is_some_and(old) {
+        let old =
+            |kept: &Idle<B>| now.saturating_duration_since(kept.since) > self.limits.idle_timeout;
+        while idle.len() > self.limits.max_idle || idle.front().is_some_and(old) {
             idle.pop_front();
         }
     }
 
     /// Returns the number of connections that carry no request, or one that
     /// is answered already.
-    pub fn kept(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.lock().len()
     }
 }
--- a/src/web/dial.rs
+++ b/src/web/dial.rs
@@ -15,18 +15,18 @@
 
 /// How connections to one address are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dial {
+pub struct Dialer {
     /// The other end.
     pub address: SocketAddr,
     /// The address that connections go out from, if not any.
-    pub own: Option<IpAddr>,
+    pub local_ip: Option<IpAddr>,
     /// How long connecting may take.
     pub timeout: Duration,
     /// How long sent bytes may go without an acknowledgement, if bounded.
-    pub unacknowledged: Option<Duration>,
+    pub ack_timeout: Option<Duration>,
 }
 
-impl Dial {
+impl Dialer {
     /// Makes a connection.
     ///
     /// # Errors
@@ -37,8 +37,8 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        if let Some(own) = self.own {
-            socket.bind(SocketAddr::new(own, 0))?;
+        if let Some(local_ip) = self.local_ip {
+            socket.bind(SocketAddr::new(local_ip, 0))?;
         }
         let connecting = socket.connect(self.address);
         let stream = tokio::time::timeout(self.timeout, connecting).await??;
@@ -55,8 +55,8 @@
             .with_interval(KEEPALIVE)
             .with_retries(KEEPALIVE_TRIES);
         socket.set_tcp_keepalive(&keepalive)?;
-        if self.unacknowledged.is_some() {
-            socket.set_tcp_user_timeout(self.unacknowledged)?;
+        if self.ack_timeout.is_some() {
+            socket.set_tcp_user_timeout(self.ack_timeout)?;
         }
         Ok(())
     }
--- a/src/web/in_turn.rs
+++ b/src/web/in_turn.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 
 use super::pipeline::Pipeline;
-use super::{CallerBody, Cut};
+use super::{CallerBody, IncompleteBody};
 
 /// The body of an answer; once it is dropped, the next request has its turn.
 #[derive(Debug)]
@@ -27,12 +27,12 @@
 
 impl Body for InTurn {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
--- a/src/web/listen.rs
+++ b/src/web/listen.rs
@@ -20,11 +20,11 @@
 
 use super::connection::Connection;
 use super::pipeline::Pipeline;
-use super::{Cut, Payload, Serve};
+use super::{IncompleteBody, Payload, RequestHandler};
 use crate::error::Error;
 
 /// The body of an answer to a caller.
-pub type CallerBody = UnsyncBoxBody<Bytes, Cut>;
+pub type CallerBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 /// An answer to a caller.
 pub type CallerAnswer = Response<CallerBody>;
 
@@ -33,25 +33,25 @@
 
 /// A server that runs until it is dropped.
 #[derive(Debug)]
-pub struct Listening {
+pub struct HttpListener {
     address: SocketAddr,
     closing: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Listening {
+impl HttpListener {
     /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Asks callers to use no connection again after its next answer.
-    pub fn close_kept(&self) {
+    pub fn disable_keep_alive(&self) {
         self.closing.send_replace(true);
     }
 }
 
-impl Drop for Listening {
+impl Drop for HttpListener {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -64,12 +64,12 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub async fn listen<H, F>(address: SocketAddr, handler: H) -> Result<Listening, Error>
+pub async fn listen<H, F>(address: SocketAddr, handler: H) -> Result<HttpListener, Error>
 where
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = CallerAnswer> + Send + 'static,
 {
-    listen_ahead(address, 1, handler).await
+    listen_pipelined(address, 1, handler).await
 }
 
 /// Binds `address` and serves `handler`, up to `limit` requests a connection
@@ -81,17 +81,17 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub async fn listen_ahead<S: Serve>(
+pub async fn listen_pipelined<S: RequestHandler>(
     address: SocketAddr,
     limit: usize,
     handler: S,
-) -> Result<Listening, Error> {
+) -> Result<HttpListener, Error> {
     let failed = |e| Error::io(format!("listen on {address}"), e);
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     let (closing, told) = watch::channel(false);
     let task = tokio::spawn(async move {
-        // Connections end with the listener, since the set is dropped with it.
+        // ConnectionPool end with the listener, since the set is dropped with it.
         let mut connections = JoinSet::new();
         loop {
             while connections.try_join_next().is_some() {}
@@ -112,7 +112,7 @@
             }
         }
     });
-    Ok(Listening {
+    Ok(HttpListener {
         address,
         closing,
         task,
--- a/src/web/mod.rs
+++ b/src/web/mod.rs
@@ -18,14 +18,14 @@
 mod stage;
 
 pub use client::{Answer, Client, ClientError};
-pub use connections::{Connections, Keep, MAX_BUFFER, RequestError};
-pub use dial::Dial;
+pub use connections::{ConnectionPool, MAX_BUFFER, PoolLimits, RequestError};
+pub use dial::Dialer;
 pub use listen::{
-    CallerAnswer, CallerBody, Listening, caller_body, caller_text, listen, listen_ahead,
+    CallerAnswer, CallerBody, HttpListener, caller_body, caller_text, listen, listen_pipelined,
 };
-pub use payload::{Chunks, Cut, Payload, SMALL_BODY, collect};
-pub use serve::{Serve, Work};
-pub use server::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
+pub use payload::{Chunks, IncompleteBody, MAX_WHOLE_BODY, Payload, collect};
+pub use serve::{AnswerFuture, RequestHandler};
+pub use server::{HttpRequest, HttpResponse, ThreadedServer, answer_json, answer_text, serve};
 
 /// Most headers of a request.
 const MAX_HEADERS: usize = 64;
--- a/src/web/payload.rs
+++ b/src/web/payload.rs
@@ -10,47 +10,47 @@
 /// Largest body that is held whole, in bytes; larger ones are streamed, and
 /// cannot be sent again to another server. Uploads of the users have up to
 /// 360 KB.
-pub const SMALL_BODY: usize = 512 * 1024;
+pub const MAX_WHOLE_BODY: usize = 512 * 1024;
 /// Chunks that wait between the two ends of a stream.
 const WINDOW: usize = 8;
 
 /// A body ended before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct IncompleteBody;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for IncompleteBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the body ended before its end")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for IncompleteBody {}
 
 /// The receiving end of a streamed body, with back pressure.
 ///
-/// It ends after the last chunk, or with [`Cut`].
+/// It ends after the last chunk, or with [`IncompleteBody`].
 #[derive(Debug)]
 pub struct Chunks {
-    receiver: mpsc::Receiver<Result<Bytes, Cut>>,
+    receiver: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
     done: bool,
 }
 
 impl Chunks {
     /// Makes a stream and its sending end.
-    pub fn channel() -> (mpsc::Sender<Result<Bytes, Cut>>, Self) {
+    pub fn channel() -> (mpsc::Sender<Result<Bytes, IncompleteBody>>, Self) {
         let (sender, receiver) = mpsc::channel(WINDOW);
         let done = false;
         (sender, Self { receiver, done })
     }
 
     /// Waits for the next chunk.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, IncompleteBody>> {
         std::future::poll_fn(|cx| Pin::new(&mut *self).poll_next(cx)).await
     }
 }
 
 impl Stream for Chunks {
-    type Item = Result<Bytes, Cut>;
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         if self.done {
@@ -62,7 +62,7 @@
         let item = match item {
             Some(Ok(chunk)) if chunk.is_empty() => None,
             Some(item) => Some(item),
-            None => Some(Err(Cut)),
+            None => Some(Err(IncompleteBody)),
         };
         self.done = !matches!(item, Some(Ok(_)));
         Poll::Ready(item)
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// Fails if the body is cut.
-pub async fn collect(payload: Payload, limit: usize) -> Result<Option<Bytes>, Cut> {
+pub async fn collect(payload: Payload, limit: usize) -> Result<Option<Bytes>, IncompleteBody> {
     let mut chunks = match payload {
         Payload::Whole(bytes) if bytes.len() <= limit => return Ok(Some(bytes)),
         Payload::Whole(_) => return Ok(None),
--- a/src/web/server.rs
+++ b/src/web/server.rs
@@ -31,13 +31,13 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A server that runs until it is stopped.
-pub struct Running {
+pub struct ThreadedServer {
     address: SocketAddr,
     handle: xitca_server::ServerHandle,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Running {
+impl ThreadedServer {
     /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ThreadedServer {
     fn drop(&mut self) {
         self.handle.stop(false);
     }
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve<H, F>(address: SocketAddr, workers: usize, handler: H) -> Result<Running, Error>
+pub fn serve<H, F>(address: SocketAddr, workers: usize, handler: H) -> Result<ThreadedServer, Error>
 where
     H: Fn(HttpRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = HttpResponse> + 'static,
@@ -94,7 +94,7 @@
             let _ = future.wait();
         })
         .map_err(failed)?;
-    Ok(Running {
+    Ok(ThreadedServer {
         address,
         handle,
         thread: Some(thread),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,9 +1,9 @@
-//! Connections that carry one request at a time.
+//! Pooled connections that carry one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bramleymount::web::{Connections, Dial, Keep, RequestError};
+use bramleymount::web::{ConnectionPool, Dialer, PoolLimits, RequestError};
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -12,19 +12,22 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-fn connections(address: SocketAddr) -> Connections<Full<Bytes>> {
+fn connections(address: SocketAddr) -> ConnectionPool<Full<Bytes>> {
     connections_idle(address, Duration::from_secs(1))
 }
 
-fn connections_idle(address: SocketAddr, idle: Duration) -> Connections<Full<Bytes>> {
-    let dial = Dial {
+fn connections_idle(address: SocketAddr, idle: Duration) -> ConnectionPool<Full<Bytes>> {
+    let dial = Dialer {
         address,
-        own: None,
+        local_ip: None,
         timeout: Duration::from_secs(1),
-        unacknowledged: None,
+        ack_timeout: None,
     };
-    let keep = Keep { most: 2, idle };
-    Connections::new(dial, keep)
+    let keep = PoolLimits {
+        max_idle: 2,
+        idle_timeout: idle,
+    };
+    ConnectionPool::new(dial, keep)
 }
 
 fn request() -> Request<Full<Bytes>> {
@@ -33,7 +36,7 @@
     request
 }
 
-async fn ask(connections: &Connections<Full<Bytes>>) -> Bytes {
+async fn ask(connections: &ConnectionPool<Full<Bytes>>) -> Bytes {
     let answer = connections.request(request()).await.expect("an answer");
     let body = answer.into_body().collect().await.expect("a body");
     body.to_bytes()
@@ -80,7 +83,7 @@
     let first = heads[0].to_lowercase();
     assert!(first.starts_with("get /path http/1.1"), "{first}");
     assert!(first.contains(&format!("host: {address}")), "{first}");
-    assert_eq!(connections.kept(), 1);
+    assert_eq!(connections.idle_count(), 1);
 }
 
 #[tokio::test]
@@ -130,7 +133,7 @@
     });
     let connections = connections(address);
     let lost = connections.request(request()).await;
-    assert!(matches!(lost, Err(RequestError::Lost(_))), "{lost:?}");
+    assert!(matches!(lost, Err(RequestError::NoAnswer(_))), "{lost:?}");
     assert!(!server.await.expect("a server"), "it was sent twice");
 }
 
@@ -153,7 +156,7 @@
     read_head(&mut stream).await;
     let end = tokio::time::timeout(Duration::from_secs(1), stream.read(&mut [0; 1])).await;
     assert_eq!(end.expect("to end").expect("to read"), 0);
-    assert_eq!(connections.kept(), 0);
+    assert_eq!(connections.idle_count(), 0);
 }
 
 #[tokio::test]
@@ -163,10 +166,10 @@
     connections.open().await.expect("a connection");
     let (mut stream, _) = listener.accept().await.expect("a connection");
     connections.trim();
-    assert_eq!(connections.kept(), 1, "it was given back just now");
+    assert_eq!(connections.idle_count(), 1, "it was given back just now");
     tokio::time::sleep(Duration::from_millis(1100)).await;
     connections.trim();
-    assert_eq!(connections.kept(), 0);
+    assert_eq!(connections.idle_count(), 0);
     let end = tokio::time::timeout(Duration::from_secs(1), stream.read(&mut [0; 1])).await;
     assert_eq!(end.expect("to end").expect("to read"), 0);
 }
--- a/tests/pipelined_callers.rs
+++ b/tests/pipelined_callers.rs
@@ -11,7 +11,9 @@
 use std::time::Duration;
 
 use bramleymount::emulator::free_address;
-use bramleymount::web::{CallerAnswer, Listening, Serve, Work, caller_text, listen_ahead};
+use bramleymount::web::{
+    AnswerFuture, CallerAnswer, HttpListener, RequestHandler, caller_text, listen_pipelined,
+};
 use http::request::Parts;
 use http::{Request, StatusCode};
 use http_body_util::BodyExt;
@@ -100,15 +102,15 @@
     }
 }
 
-impl Serve for Held {
-    fn serve(&self, request: Request<Incoming>, came: Instant, _: SocketAddr) -> Work {
+impl RequestHandler for Held {
+    fn serve(&self, request: Request<Incoming>, came: Instant, _: SocketAddr) -> AnswerFuture {
         let (parts, body) = request.into_parts();
         Box::pin(self.clone().run(parts, Some(body), came))
     }
 
-    fn begin(&self, head: Parts, came: Instant, _: SocketAddr) -> Option<Work> {
+    fn start_early(&self, head: Parts, came: Instant, _: SocketAddr) -> Option<AnswerFuture> {
         let waits = head.uri.path() == OWN_TURN;
-        (!waits).then(|| Box::pin(self.clone().run(head, None, came)) as Work)
+        (!waits).then(|| Box::pin(self.clone().run(head, None, came)) as AnswerFuture)
     }
 }
 
@@ -160,10 +162,10 @@
     }
 }
 
-async fn serve(limit: usize) -> (Held, Listening, Caller) {
+async fn serve(limit: usize) -> (Held, HttpListener, Caller) {
     let held = Held::new();
     let address = free_address().expect("a port");
-    let listening = listen_ahead(address, limit, held.clone()).await;
+    let listening = listen_pipelined(address, limit, held.clone()).await;
     let caller = Caller::new(address).await;
     (held, listening.expect("a listener"), caller)
 }
@@ -327,7 +329,7 @@
     let (held, listening, mut caller) = serve(8).await;
     caller.send(&(get("/1") + &get("/2"))).await;
     held.wait_begun(&["/1", "/2"]).await;
-    listening.close_kept();
+    listening.disable_keep_alive();
     caller.send(&get("/3")).await;
     sleep(QUIET).await;
     held.release(&["/1", "/2", "/3"]);
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -12,14 +12,14 @@
 use bramleymount::store::{
     Condition, Feed, FeedError, ObjectStore, Revision, Settled, TableStore, WriteError, settle,
 };
-use bramleymount::web::Listening;
+use bramleymount::web::HttpListener;
 use rstest::rstest;
 use support::rows::{RowsStandIn, Trouble};
 
 /// Short, so that answers which never come are noticed soon.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-async fn store() -> (RowStore, Arc<RowsStandIn>, Listening) {
+async fn store() -> (RowStore, Arc<RowsStandIn>, HttpListener) {
     let address = free_address().expect("a port");
     let (rows, listening) = RowsStandIn::start(address).await;
     (RowStore::new(address, TIMEOUT), rows, listening)
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bramleymount::web::{Answer, Listening};
+use bramleymount::web::{Answer, HttpListener};
 use http::{Method, StatusCode};
 use support::crashing::CrashingVm;
 use support::eventually;
@@ -45,7 +45,7 @@
 struct Platform {
     address: SocketAddr,
     _rows: Arc<RowsStandIn>,
-    _store: Arc<Listening>,
+    _store: Arc<HttpListener>,
 }
 
 impl Platform {
--- a/tests/support/crashing.rs
+++ b/tests/support/crashing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bramleymount::web::{CallerAnswer, Listening, caller_text, listen};
+use bramleymount::web::{CallerAnswer, HttpListener, caller_text, listen};
 use http::{HeaderValue, Request, StatusCode};
 use hyper::body::Incoming;
 use parking_lot::Mutex;
@@ -28,7 +28,7 @@
 /// It is back after a while as another run.
 pub struct Crashing {
     address: SocketAddr,
-    listening: Mutex<Option<Listening>>,
+    listening: Mutex<Option<HttpListener>>,
     server: Mutex<String>,
     /// All that it began to run, in order.
     pub runs: Mutex<Vec<Run>>,
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -9,7 +9,7 @@
 use bramleymount::config::Config;
 use bramleymount::daemon::Daemon;
 use bramleymount::emulator::free_address;
-use bramleymount::web::{Answer, CallerAnswer, Listening, caller_text, listen};
+use bramleymount::web::{Answer, CallerAnswer, HttpListener, caller_text, listen};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request, StatusCode};
 use http_body_util::BodyExt;
@@ -135,7 +135,7 @@
     /// Where its backend server listens.
     pub backend: SocketAddr,
     settings: String,
-    running: Option<Listening>,
+    running: Option<HttpListener>,
 }
 
 /// Starts a VM with a backend server that answers.
@@ -319,7 +319,7 @@
     )
 }
 
-pub async fn store() -> (SocketAddr, Arc<RowsStandIn>, Listening) {
+pub async fn store() -> (SocketAddr, Arc<RowsStandIn>, HttpListener) {
     let address = free_address().expect("a port");
     let (rows, listening) = RowsStandIn::start(address).await;
     (address, rows, listening)
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -15,7 +15,7 @@
 
 use bramleymount::emulator::free_address;
 use bramleymount::store::{Memory, serve_standin};
-use bramleymount::web::{Answer, Client, Running};
+use bramleymount::web::{Answer, Client, ThreadedServer};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request};
 use http_body_util::Full;
@@ -35,7 +35,7 @@
     }
 }
 
-pub fn platform() -> (SocketAddr, Arc<Memory>, Running) {
+pub fn platform() -> (SocketAddr, Arc<Memory>, ThreadedServer) {
     let memory = Arc::new(Memory::default());
     let address = free_address().expect("a port");
     let running = serve_standin(address, Arc::clone(&memory)).expect("the stand-in");
--- a/tests/support/rows.rs
+++ b/tests/support/rows.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bramleymount::web::{CallerAnswer, Listening, caller_text, listen};
+use bramleymount::web::{CallerAnswer, HttpListener, caller_text, listen};
 use http::{Method, Request, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -107,7 +107,7 @@
 }
 
 impl RowsStandIn {
-    pub async fn start(address: SocketAddr) -> (Arc<Self>, Listening) {
+    pub async fn start(address: SocketAddr) -> (Arc<Self>, HttpListener) {
         let store = Arc::new(Self::default());
         let served = Arc::clone(&store);
         let listening = listen(address, move |request, _| {
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bramleymount::web::{Listening, caller_text, listen};
+use bramleymount::web::{HttpListener, caller_text, listen};
 use http::{HeaderValue, Method, StatusCode};
 use rstest::rstest;
 use support::eventually;
@@ -19,7 +19,7 @@
 
 struct Server {
     vm: Vm,
-    _listening: Listening,
+    _listening: HttpListener,
 }
 
 /// Starts a server that gives each request the same answer after some time.
