--- a/src/web/caller_connection.rs
+++ b/src/web/caller_connection.rs
@@ -22,15 +22,16 @@
 use super::pipelined_stream::PipelinedStream;
 use super::{AnswerFuture, CallerAnswer, MAX_HEAD, MAX_HEADERS, RequestHandler, caller_text};
 
-/// Bytes of a header's line besides name and value.
+/// Bytes of a header line besides name and value.
 const HEADER_LINE_OVERHEAD: usize = 4;
-/// How long a connection may be idle or take for a head; longer than callers
-/// keep idle connections, so that a request seldom meets the closing.
+/// Time after which a connection is closed that is idle or whose next head is
+/// incomplete. Longer than callers keep idle connections, so that a request rarely
+/// arrives while the connection closes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a caller may go on sending after its last answer.
+/// Time for which a caller's remaining bytes are read after its last answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What gives the answer to a request.
+/// Source of the answer to a request.
 enum AnswerSource {
     HeadTooLarge,
     Early(EarlyRequest),
@@ -43,12 +44,12 @@
     pub(super) from: SocketAddr,
     pub(super) handler: S,
     pub(super) pipeline: Arc<Mutex<Pipeline>>,
-    /// Told when no connection is to be used again.
+    /// Becomes true when connections are to close after their next answer.
     pub(super) closing: watch::Receiver<bool>,
 }
 
 impl<S: RequestHandler> CallerConnection<S> {
-    /// Serves the caller until one of both ends the connection.
+    /// Serves the caller until either side closes the connection.
     pub(super) async fn run(self, stream: TcpStream) {
         if let Err(e) = stream.set_nodelay(true) {
             spdlog::debug!("cannot set nodelay", kv: { cause = e.to_string().as_str() });
@@ -66,7 +67,7 @@
             .serve_connection(TokioIo::new(pipelined), service);
         let served = (&mut connection).await;
         if let Err(e) = served {
-            spdlog::debug!("connection of a caller ended", kv: { cause = e.to_string().as_str() });
+            spdlog::debug!("connection of a caller failed", kv: { cause = e.to_string().as_str() });
         }
         self.pipeline.lock().end_connection();
         let stream = connection.into_parts().io.into_inner().into_inner();
@@ -74,11 +75,11 @@
             .await
             .is_err()
         {
-            spdlog::debug!("a caller went on sending after its last answer");
+            spdlog::debug!("caller still sends after the last answer; closing its connection");
         }
     }
 
-    /// Takes a request in its turn.
+    /// Selects the source of the answer once a request becomes the current one.
     fn answer_source(&self, request: Request<Incoming>) -> AnswerSource {
         let is_large = head_size(&request) > MAX_HEAD;
         let is_last = is_large || is_last(&request);
@@ -98,7 +99,8 @@
             AnswerSource::Handler(answer) => answer.await,
         };
         let mut pipeline = self.pipeline.lock();
-        // What was begun is answered, since it may have been passed on.
+        // Requests started early are still answered, since they may have been
+        // forwarded.
         if is_large || *self.closing.borrow() && !pipeline.has_early() {
             pipeline.end_connection();
             let close = HeaderValue::from_static("close");
@@ -109,7 +111,7 @@
     }
 }
 
-/// Tells whether the caller asks for nothing more on its connection.
+/// Returns whether this is the last request on its connection.
 fn is_last<B>(request: &Request<B>) -> bool {
     let values = request.headers().get_all(CONNECTION);
     let has_close = values.iter().any(|value| {
@@ -120,8 +122,8 @@
     has_close || request.version() != Version::HTTP_11
 }
 
-/// Returns about how many bytes the head of a request has; the library's own
-/// bound holds for what it reads at once, which may be more.
+/// Returns the approximate size of the head of a request, in bytes; the library's
+/// own limit applies to what it reads at once, which may be more.
 fn head_size<B>(request: &Request<B>) -> usize {
     let target = request.uri().path_and_query();
     let headers = request.headers().iter();
@@ -140,10 +142,10 @@
     )
 }
 
-/// Reads what the caller still sends after nothing more is sent to it.
+/// Reads and discards what the caller still sends after the last answer.
 ///
-/// Closing while bytes are unread would reset the connection, and the caller
-/// could lose the answer that was sent last.
+/// Closing with unread bytes would reset the connection, and the caller could lose
+/// the last answer.
 async fn linger(mut stream: TcpStream) {
     let mut rest = [0; 4096];
     while matches!(stream.read(&mut rest).await, Ok(count) if count > 0) {}
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -1,4 +1,4 @@
-//! Asking by HTTP.
+//! An HTTP client.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 
 use super::dialer::set_keepalive;
 
-/// How long an idle connection is kept; short, since a connection that
-/// something between has forgotten fails the next request.
+/// Time after which an idle connection is closed; short, since the next request
+/// fails on a connection that a middlebox has dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long connecting may take.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an answer did not come.
+/// A request without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientError {
-    /// No connection was made; nothing was sent.
+    /// No connection was established; nothing was sent.
     Connect(Box<str>),
-    /// The request may have arrived; no whole answer came.
+    /// The request may have arrived, but no complete answer came back.
     NoAnswer(Box<str>),
 }
 
@@ -31,25 +31,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect(cause) => write!(f, "cannot connect: {cause}"),
-            Self::NoAnswer(cause) => write!(f, "no whole answer: {cause}"),
+            Self::NoAnswer(cause) => write!(f, "no complete answer: {cause}"),
         }
     }
 }
 
 impl std::error::Error for ClientError {}
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// A client for small requests with whole answers.
+/// A client that reads each answer whole.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -58,8 +58,8 @@
 }
 
 impl Client {
-    /// Makes a client; answers may have at most `limit` bytes and take
-    /// `timeout`.
+    /// Creates a client; an answer may have at most `max_size` bytes and must be
+    /// complete within `timeout`.
     pub fn new(timeout: Duration, max_size: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT.min(timeout)));
@@ -77,20 +77,22 @@
         }
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete answer.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have arrived.
+    /// Fails without a complete answer; the error says whether the request may have
+    /// arrived.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Answer, ClientError> {
         self.send_within(request, self.timeout).await
     }
 
-    /// Sends a request and waits for the whole answer, for `timeout` at most.
+    /// Sends a request and waits for the complete answer, for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have arrived.
+    /// Fails without a complete answer; the error says whether the request may have
+    /// arrived.
     pub async fn send_within(
         &self,
         request: Request<Full<Bytes>>,
--- a/src/web/connection_pool.rs
+++ b/src/web/connection_pool.rs
@@ -1,8 +1,9 @@
-//! Connections to one address, each of which carries one request at a time.
+//! Pool of connections to one address, each of which carries one request at a
+//! time.
 //!
-//! Each call to the backend server goes through one of these. Beside a general
-//! pool of the library they spare a spawned task, a race between waiting and
-//! connecting and a look-up by host for each request.
+//! Each call to the backend server goes through it. Compared with the library's
+//! general pool it saves each request a spawned task, a race between waiting and
+//! connecting, and a lookup by host.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -19,17 +20,17 @@
 
 use super::Dialer;
 
-/// Largest buffer of a connection, in bytes; it holds the head of an answer
-/// whole, and bodies piece by piece.
+/// Maximum size of a connection's buffer, in bytes; the head of an answer must fit
+/// into it, a body need not.
 pub const MAX_BUFFER: usize = 64 * 1024;
 
-/// The name of the time that the other end keeps an idle connection.
+/// Header that says how long the server keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Part of that time in which a connection is used again; a request on its way
-/// must not meet the close.
+/// Share of that time during which a connection is reused, so that the server
+/// doesn't close it while a request is on its way.
 const REUSE_SHARE: f64 = 0.8;
 
-/// Reads how long the other end keeps the connection once it is idle.
+/// Returns how long the server keeps the connection once it is idle.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
@@ -37,12 +38,12 @@
     seconds.parse().ok().map(Duration::from_secs)
 }
 
-/// Why there is no answer.
+/// A request without an answer.
 #[derive(Debug)]
 pub enum RequestError {
-    /// No connection was made; nothing was sent.
+    /// No connection was established; nothing was sent.
     Connect(std::io::Error),
-    /// The request may have arrived.
+    /// The request may have arrived, but no answer came back.
     NoAnswer(hyper::Error),
 }
 
@@ -55,21 +56,21 @@
     }
 }
 
-/// What is kept of connections that carry no request.
+/// Limits on idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Most connections that are kept.
+    /// Maximum number of idle connections.
     pub max_idle: usize,
-    /// How long one is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// A connection that was given back.
+/// A connection in the pool.
 #[derive(Debug)]
 struct IdleConnection<B> {
     sender: SendRequest<B>,
     idle_since: Instant,
-    /// When the other end is about to close it, if it told.
+    /// When the server is about to close it, if its answer said so.
     expires_at: Option<Instant>,
 }
 
@@ -79,10 +80,10 @@
     }
 }
 
-/// Connections to one address.
+/// A pool of connections to one address.
 ///
-/// The one used last is used first, since the other end is the least likely to
-/// have closed or forgotten it.
+/// The connection used last is reused first, since it is the least likely to have
+/// been closed or dropped on the way.
 #[derive(Debug)]
 pub struct ConnectionPool<B> {
     dialer: Dialer,
@@ -96,7 +97,7 @@
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// Makes a set without any connection.
+    /// Creates an empty pool.
     pub fn new(dialer: Dialer, limits: PoolLimits) -> Self {
         let host = HeaderValue::try_from(dialer.address.to_string());
         Self {
@@ -110,12 +111,13 @@
     /// Sends a request, whose target is a path, and waits for the head of the
     /// answer.
     ///
-    /// The connection is used again once the body of the answer was read; it
-    /// ends if this future or the body is dropped before.
+    /// The connection is reused once the body of the answer has been read; it
+    /// closes if this future or the body is dropped earlier.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have arrived.
+    /// Fails without an answer; the error says whether the request may have
+    /// arrived.
     pub async fn request(
         &self,
         mut request: Request<B>,
@@ -127,7 +129,7 @@
             match sender.try_send_request(request).await {
                 Ok(answer) => return Ok(self.keep_answered(sender, answer)),
                 Err(mut failed) => match failed.take_message() {
-                    // The other end had closed the connection.
+                    // The server had already closed the connection.
                     Some(unsent) => request = unsent,
                     None => return Err(RequestError::NoAnswer(failed.into_error())),
                 },
@@ -140,11 +142,11 @@
         }
     }
 
-    /// Opens a connection and keeps it for the next request.
+    /// Opens a connection and puts it into the pool.
     ///
     /// # Errors
     ///
-    /// Fails if none can be made.
+    /// Fails if no connection can be opened.
     pub async fn open(&self) -> Result<(), RequestError> {
         let sender = self.connect().await?;
         self.put_back(sender, None);
@@ -166,8 +168,7 @@
         Ok(sender)
     }
 
-    /// Takes out the connection that was used last of those that can carry a
-    /// request now.
+    /// Takes the most recently used connection that can carry a request now.
     fn take_idle(&self) -> Option<SendRequest<B>> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
@@ -186,8 +187,8 @@
         None
     }
 
-    /// Gives a connection back, whose answer may still be on its way; it is
-    /// not taken before its end.
+    /// Returns a connection to the pool while the body of its answer may still be
+    /// arriving; it isn't taken again until the body has been read.
     fn keep_answered(
         &self,
         sender: SendRequest<B>,
@@ -198,7 +199,7 @@
         answer
     }
 
-    /// Keeps a connection, for some time at the longest.
+    /// Puts a connection into the pool, for at most `reuse_time` if set.
     fn put_back(&self, sender: SendRequest<B>, reuse_time: Option<Duration>) {
         let idle_since = Instant::now();
         let expires_at = reuse_time.map(|time| idle_since + time);
@@ -211,8 +212,8 @@
         self.drop_excess(&mut idle, idle_since);
     }
 
-    /// Closes connections that have been idle for too long, which is otherwise
-    /// done only when one is given back.
+    /// Closes connections that exceeded the idle timeout; otherwise this happens
+    /// only when a connection returns to the pool.
     pub fn trim(&self) {
         let mut idle = self.idle.lock();
         self.drop_excess(&mut idle, Instant::now());
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Returns the number of connections that carry no request, or one that
-    /// is answered already.
+    /// Returns the number of pooled connections; the body of a last answer may still
+    /// be arriving.
     pub fn idle_count(&self) -> usize {
         self.idle.lock().len()
     }
--- a/src/web/dialer.rs
+++ b/src/web/dialer.rs
@@ -1,4 +1,4 @@
-//! Making of connections.
+//! Opening of TCP connections.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -7,31 +7,30 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// How long a connection may carry nothing before the other end is asked
-/// whether it still knows it, and how often.
+/// Idle time before the first TCP keepalive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Questions without an answer after which a connection is closed.
+/// Unanswered keepalive probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// How connections to one address are made.
+/// Opens connections to one address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dialer {
-    /// The other end.
+    /// The remote address.
     pub address: SocketAddr,
-    /// The address that connections go out from, if not any.
+    /// The local address to connect from; any if `None`.
     pub local_ip: Option<IpAddr>,
-    /// How long connecting may take.
+    /// Time within which a connection must be established.
     pub timeout: Duration,
-    /// How long sent bytes may go without an acknowledgement, if bounded.
+    /// Time within which sent bytes must be acknowledged, if limited.
     pub ack_timeout: Option<Duration>,
 }
 
 impl Dialer {
-    /// Makes a connection.
+    /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// Fails if there is none in time; nothing was sent then.
+    /// Fails if the connection isn't established in time; nothing was sent then.
     pub async fn connect(&self) -> std::io::Result<TcpStream> {
         let socket = match self.address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -47,7 +46,7 @@
     }
 
     fn set_options(&self, stream: &TcpStream) -> std::io::Result<()> {
-        // Messages are small and each is waited for.
+        // Messages are small, and the sender waits for each answer.
         stream.set_nodelay(true)?;
         let socket = SockRef::from(stream);
         let keepalive = TcpKeepalive::new()
@@ -62,7 +61,7 @@
     }
 }
 
-/// Makes connections that go silent for good end within a few seconds.
+/// Enables keepalive, which closes a dead connection within a few seconds.
 pub(super) fn set_keepalive(connector: &mut HttpConnector) {
     connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
--- a/src/web/early_head.rs
+++ b/src/web/early_head.rs
@@ -1,4 +1,4 @@
-//! The head of a request that may be begun before its turn.
+//! Heads of pipelined requests that may start early.
 
 use bytes::Bytes;
 use http::header::{CONNECTION, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING, UPGRADE};
@@ -7,13 +7,13 @@
 
 use super::MAX_HEADERS;
 
-/// Headers of a request whose end, or whose connection's end, is not plain.
+/// Headers that make the end of the request or of the connection unclear.
 const UNSUITABLE_HEADERS: [HeaderName; 3] = [TRANSFER_ENCODING, UPGRADE, EXPECT];
-/// The second part of HTTP/1.1.
+/// The minor version of HTTP/1.1.
 const HTTP_MINOR_VERSION: u8 = 1;
 
-/// Reads the head of a safe request without a body, after which the connection
-/// goes on; `None` for any other.
+/// Parses the head of a safe request without a body that leaves the connection
+/// open; `None` for any other request.
 pub(super) fn parse_early_head(head: &Bytes) -> Option<Parts> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
--- a/src/web/early_request.rs
+++ b/src/web/early_request.rs
@@ -1,4 +1,4 @@
-//! A request that was begun before its turn.
+//! A pipelined request that was started before earlier ones were answered.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use super::CallerAnswer;
 
-/// A request that was begun before its turn; its work ends when it is dropped.
+/// A pipelined request that was started early; dropping it aborts its task.
 #[derive(Debug)]
 pub(super) struct EarlyRequest {
     start: u64,
@@ -19,7 +19,7 @@
 }
 
 impl EarlyRequest {
-    /// Takes note of the work on the request whose head begins at `start`.
+    /// Wraps the task of the request whose head begins at byte `start`.
     pub(super) fn new(
         start: u64,
         (method, target): (Method, Uri),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Tells whether this is the work on the request that begins at `start`.
+    /// Returns whether this is `request`, whose head begins at byte `start`.
     pub(super) fn matches<B>(&self, start: u64, request: &Request<B>) -> bool {
         self.start == start && self.method == *request.method() && self.target == *request.uri()
     }
--- a/src/web/head_scanner.rs
+++ b/src/web/head_scanner.rs
@@ -1,9 +1,9 @@
-//! The end of a request's head.
+//! Search for the end of a request's head.
 
-/// Finds the empty line that ends a head, over any number of reads.
+/// Finds the empty line that ends a head, across any number of reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum HeadScanner {
-    /// Nothing but empty lines has come, which may stand before a head.
+    /// Before the head; empty lines may precede it.
     #[default]
     BeforeHead,
     /// Within a line.
@@ -15,8 +15,8 @@
 }
 
 impl HeadScanner {
-    /// Returns how many of the next bytes belong to the head, once it ends
-    /// among them.
+    /// Returns how many of `bytes` belong to the head; `None` if it doesn't end in
+    /// them.
     pub(super) fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         let mut index = 0;
         while let Some(byte) = bytes.get(index) {
--- a/src/web/listen.rs
+++ b/src/web/listen.rs
@@ -1,4 +1,4 @@
-//! Serving of HTTP to callers, whose leaving is noticed.
+//! An HTTP server of `hyper` that cancels a request when its caller disconnects.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,10 +28,11 @@
 /// An answer to a caller.
 pub type CallerAnswer = Response<CallerBody>;
 
-/// Pause after a connection could not be accepted, for lack of descriptors.
+/// Pause after a failure to accept a connection, such as for lack of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A server that runs until it is dropped.
+/// An HTTP server that runs until it is dropped.
 #[derive(Debug)]
 pub struct HttpListener {
     address: SocketAddr,
@@ -40,12 +41,13 @@
 }
 
 impl HttpListener {
-    /// Returns the address it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks callers to use no connection again after its next answer.
+    /// Makes each connection close after its next answer; pipelined requests that
+    /// were started are still answered.
     pub fn disable_keep_alive(&self) {
         self.closing.send_replace(true);
     }
@@ -57,7 +59,8 @@
     }
 }
 
-/// Binds `address` and serves `handler`, one request a connection at a time.
+/// Binds `address` and serves requests with `handler`, one at a time for each
+/// connection.
 ///
 /// When a caller closes its connection, the handler of its request is dropped.
 ///
@@ -72,8 +75,8 @@
     listen_pipelined(address, 1, handler).await
 }
 
-/// Binds `address` and serves `handler`, up to `limit` requests a connection
-/// at a time; their answers go back in the order of the requests.
+/// Binds `address` and serves requests with `handler`, up to `limit` at a time
+/// for each connection; answers are sent in the order of the requests.
 ///
 /// When a caller closes its connection, the handlers of its requests are
 /// dropped.
@@ -91,7 +94,7 @@
     let address = listener.local_addr().map_err(listen_error)?;
     let (closing, closing_receiver) = watch::channel(false);
     let task = tokio::spawn(async move {
-        // ConnectionPool end with the listener, since the set is dropped with it.
+        // Dropping the set with this task closes all connections.
         let mut connections = JoinSet::new();
         loop {
             while connections.try_join_next().is_some() {}
@@ -106,7 +109,7 @@
                     connections.spawn(connection.run(stream));
                 }
                 Err(e) => {
-                    spdlog::warn!("cannot accept", kv: { cause = e.to_string().as_str() });
+                    spdlog::warn!("cannot accept a connection", kv: { cause = e.to_string().as_str() });
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -119,7 +122,7 @@
     })
 }
 
-/// Makes the body of an answer; one that is cut ends its connection early.
+/// Builds the body of an answer; an incomplete one closes its connection.
 pub fn caller_body(body: Payload) -> CallerBody {
     match body {
         Payload::Whole(bytes) => Full::new(bytes)
@@ -131,7 +134,7 @@
     }
 }
 
-/// Makes an answer of a status and a text.
+/// Builds an answer with a text body.
 pub fn caller_text(
     status: StatusCode,
     content_type: &'static str,
--- a/src/web/mod.rs
+++ b/src/web/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP through libraries: serving of operators by `xitca-web`, of callers by
-//! `hyper`, asking by `hyper` and `hyper-util`.
+//! HTTP servers and clients: operators are served by `xitca-web`, callers by
+//! `hyper`; requests are sent by `hyper` and `hyper-util`.
 
 mod caller_connection;
 mod client;
@@ -29,7 +29,7 @@
     HttpRequest, HttpResponse, ThreadedServer, answer_json, answer_text, serve,
 };
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Largest head of a request, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const MAX_HEAD: usize = 32 * 1024;
--- a/src/web/payload.rs
+++ b/src/web/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls and answers, whole or as a stream.
+//! Bodies of calls and answers, whole or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,14 +7,13 @@
 use futures_util::Stream;
 use tokio::sync::mpsc;
 
-/// Largest body that is held whole, in bytes; larger ones are streamed, and
-/// cannot be sent again to another server. Uploads of the users have up to
-/// 360 KB.
+/// Maximum size of a body that is held whole, in bytes; larger ones are streamed
+/// and can't be retried at another server. Users' uploads have up to 360 KB.
 pub const MAX_WHOLE_BODY: usize = 512 * 1024;
-/// Chunks that wait between the two ends of a stream.
+/// Maximum number of chunks queued between the ends of a stream.
 const MAX_QUEUED_CHUNKS: usize = 8;
 
-/// A body ended before its end.
+/// A streamed body ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncompleteBody;
 
@@ -26,9 +25,9 @@
 
 impl std::error::Error for IncompleteBody {}
 
-/// The receiving end of a streamed body, with back pressure.
+/// The receiving end of a streamed body, with backpressure.
 ///
-/// It ends after the last chunk, or with [`IncompleteBody`].
+/// The stream ends after the last chunk, or with [`IncompleteBody`].
 #[derive(Debug)]
 pub struct Chunks {
     receiver: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
@@ -36,7 +35,7 @@
 }
 
 impl Chunks {
-    /// Makes a stream and its sending end.
+    /// Creates a stream and its sending end.
     pub fn channel() -> (mpsc::Sender<Result<Bytes, IncompleteBody>>, Self) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let is_done = false;
@@ -57,8 +56,8 @@
             return Poll::Ready(None);
         }
         let item = std::task::ready!(self.receiver.poll_recv(cx));
-        // An empty chunk marks the end, so that a sender that is dropped
-        // before it is told from one that is done.
+        // An empty chunk marks the end, which distinguishes a sender that
+        // finished from one that was dropped early.
         let item = match item {
             Some(Ok(chunk)) if chunk.is_empty() => None,
             Some(item) => Some(item),
@@ -72,29 +71,29 @@
 /// The body of a call or an answer.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
     /// A stream of chunks.
     Stream {
-        /// The length in bytes, if it is known beforehand.
+        /// The length in bytes, if it is known in advance.
         length: Option<u64>,
-        /// The chunks.
+        /// The chunks, in order.
         chunks: Chunks,
     },
 }
 
 impl Payload {
-    /// Makes an empty body.
+    /// Creates an empty body.
     pub const fn empty() -> Self {
         Self::Whole(Bytes::new())
     }
 }
 
-/// Reads a body whole, up to `limit` bytes; `None` if it is longer.
+/// Reads a whole body of at most `limit` bytes; `None` if it is longer.
 ///
 /// # Errors
 ///
-/// Fails if the body is cut.
+/// Fails if the body is incomplete.
 pub async fn collect(payload: Payload, limit: usize) -> Result<Option<Bytes>, IncompleteBody> {
     let mut chunks = match payload {
         Payload::Whole(bytes) if bytes.len() <= limit => return Ok(Some(bytes)),
--- a/src/web/pipeline.rs
+++ b/src/web/pipeline.rs
@@ -1,4 +1,4 @@
-//! The requests of one connection, in the order in which they came.
+//! The requests of one connection, in order of arrival.
 
 use std::collections::VecDeque;
 use std::task::{Context, Waker};
@@ -16,51 +16,52 @@
 use super::head_scanner::HeadScanner;
 use super::stage::Stage;
 
-/// Most bytes that are held of one connection ahead of their turn.
+/// Maximum number of bytes buffered for one connection.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Most reads whose moments are held.
+/// Maximum number of reads whose times are kept.
 const MAX_READ_TIMES: usize = 64;
-/// Reads that are closer in time count as one.
+/// Reads closer together than this count as one.
 const READ_MERGE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The requests of one connection: the one in hand, which the server has or is
-/// given, and those behind it.
+/// The requests of one connection: the current one, which the HTTP server reads
+/// and answers, and the pipelined ones after it.
 ///
-/// Places are counted in bytes from the start of the connection.
+/// Positions are in bytes from the start of the connection.
 #[derive(Debug)]
 pub(super) struct Pipeline {
-    /// Most requests under way at one time.
+    /// Maximum number of requests in progress.
     limit: usize,
     stage: Stage,
-    /// Whether the one in hand is answered.
+    /// Whether the current request is answered.
     is_answered: bool,
-    /// Whether the connection ends with the one in hand.
+    /// Whether the connection ends with the current request.
     is_last: bool,
-    /// Whether those behind the one in hand wait until it is answered.
+    /// Whether later requests wait until the current one is answered.
     blocks_next: bool,
-    /// Where the one in hand begins.
+    /// Where the current request begins.
     start: u64,
-    /// When its head had come.
+    /// When the head of the current request was complete.
     arrived_at: Instant,
-    /// Up to where the server has been given bytes.
+    /// End of the bytes that the server has read.
     read_position: u64,
-    /// Bytes behind that.
+    /// The bytes received after `read_position`.
     buffer: BytesMut,
-    /// Up to where each read went that brought them, and when it was.
+    /// End and time of each read that filled the buffer.
     reads: VecDeque<(u64, Instant)>,
-    /// Where the next head begins that was not begun, and how far its end was
-    /// looked for.
+    /// Where the first request begins that isn't started yet.
     next_start: u64,
+    /// How far its head has been scanned for its end.
     scan_position: u64,
     scanner: HeadScanner,
-    /// Whether that one has to wait for its turn.
+    /// Whether that request has to wait until it is the current one.
     next_waits: bool,
+    /// Pipelined requests that were started, in order.
     early_requests: VecDeque<EarlyRequest>,
-    /// Wakes the connection, if bytes are held.
+    /// Wakes the connection's task, if bytes are buffered.
     waker: Option<Waker>,
 }
 
-/// A request behind the one in hand.
+/// A pipelined request that may start early.
 #[derive(Debug)]
 pub(super) struct NextRequest {
     pub(super) start: u64,
@@ -69,8 +70,8 @@
 }
 
 impl Pipeline {
-    /// Makes the pipeline of a new connection; with a limit of one or none
-    /// nothing is read ahead.
+    /// Creates the pipeline of a new connection; nothing is read ahead if `limit` is
+    /// 0 or 1.
     pub(super) fn new(limit: usize, now: Instant) -> Self {
         Self {
             limit,
@@ -96,24 +97,24 @@
         }
     }
 
-    /// Tells whether the server has the whole request in hand, so that what is
-    /// read belongs to those behind it.
+    /// Returns whether the server has read the whole current request, so that
+    /// further bytes belong to later ones.
     pub(super) const fn reads_ahead(&self) -> bool {
         self.stage.is_whole()
     }
 
-    /// Tells whether bytes are held that the server has not been given.
+    /// Returns whether bytes are buffered that the server hasn't read.
     pub(super) fn has_buffered(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Tells whether more may be read ahead.
+    /// Returns whether more may be read ahead.
     pub(super) fn has_room(&self) -> bool {
         self.buffer.len() < MAX_BUFFERED_BYTES && self.reads.len() < MAX_READ_TIMES
     }
 
-    /// Takes bytes that were read just now while the server wanted some;
-    /// returns how many of them it may be given.
+    /// Accepts bytes just received for the server; returns how many of them it may
+    /// read, and buffers the rest.
     pub(super) fn consume(&mut self, bytes: &[u8], now: Instant) -> usize {
         let count = self.stage.consume(bytes);
         self.record_read(count, now);
@@ -123,7 +124,7 @@
         count
     }
 
-    /// Gives bytes that were held, at most so many.
+    /// Takes buffered bytes for the server, at most `max_bytes`.
     pub(super) fn take(&mut self, max_bytes: usize) -> Bytes {
         let max_bytes = max_bytes.min(self.buffer.len());
         let count = self.stage.consume(&self.buffer[..max_bytes]);
@@ -143,7 +144,7 @@
         bytes
     }
 
-    /// Holds bytes that were read ahead.
+    /// Buffers bytes that were read ahead.
     pub(super) fn push(&mut self, bytes: &[u8], now: Instant) {
         self.buffer.extend_from_slice(bytes);
         let end = self.read_position + self.buffer.len() as u64;
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Takes note of what the server read of the request in hand; returns when
-    /// its head had come, and the work on it if that was begun.
+    /// Records the current request once the server has parsed its head; returns when
+    /// the head was complete, and the early request if it was started.
     pub(super) fn record_current<B: Body>(
         &mut self,
         request: &Request<B>,
@@ -165,7 +166,7 @@
         }
         let length = request.body().size_hint().exact();
         self.stage = length.map_or(Stage::Unbounded, Stage::Body);
-        // What is begun behind an unsafe request may miss what that one does.
+        // A request started early might miss the effects of an unsafe one before it.
         self.blocks_next = !request.method().is_safe();
         if is_last {
             self.end_connection();
@@ -177,26 +178,26 @@
         )
     }
 
-    /// Takes note that the connection ends with the request in hand; those
-    /// behind it count as not read.
+    /// Ends the connection after the current request; later ones are cancelled and
+    /// count as not received.
     pub(super) fn end_connection(&mut self) {
         self.is_last = true;
         self.early_requests.clear();
     }
 
-    /// Takes note that the request in hand is answered.
+    /// Records that the current request is answered.
     pub(super) fn record_answer(&mut self) {
         self.is_answered = true;
         self.advance();
     }
 
-    /// Tells whether requests behind the one in hand were begun.
+    /// Returns whether requests after the current one were started.
     pub(super) fn has_early(&self) -> bool {
         !self.early_requests.is_empty()
     }
 
-    /// Returns the next request that may be begun, if one has come and the
-    /// limit leaves room.
+    /// Returns the next request that may start early, if one has arrived and the
+    /// limit permits it.
     pub(super) fn next_early(&mut self) -> Option<NextRequest> {
         let has_capacity = self.early_requests.len() + 1 < self.limit;
         if self.is_last || self.blocks_next || !has_capacity || !self.has_buffered() {
@@ -216,7 +217,7 @@
         };
         let end = self.scan_position + count as u64;
         let head = &self.buffer[self.buffer_index(self.next_start)..from + count];
-        // What may be begun is small, and is copied once.
+        // Heads that may start early are small; each is copied once.
         let head = (head.len() <= MAX_HEAD).then(|| Bytes::copy_from_slice(head));
         let Some(head) = head.as_ref().and_then(parse_early_head) else {
             self.next_waits = true;
@@ -231,8 +232,8 @@
         })
     }
 
-    /// Takes note of the work on the request that was returned last; `None` if
-    /// it has to wait for its turn.
+    /// Records the start of the request that `next_early` returned last; `None` if
+    /// it has to wait until it is the current one.
     pub(super) fn record_early(&mut self, start: u64, request: Option<EarlyRequest>) {
         match request {
             Some(request) => self.early_requests.push_back(request),
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Has the connection woken once the server may be given more.
+    /// Registers the task to wake once the server may read more.
     pub(super) fn set_waker(&mut self, cx: &Context<'_>) {
         let is_same = self
             .waker
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Takes note of bytes that the server was given, the last of which came
-    /// at `came`.
+    /// Records that the server read `count` bytes, the last of which arrived at
+    /// `arrived_at`.
     fn record_read(&mut self, count: usize, arrived_at: Instant) {
         self.read_position += count as u64;
         if matches!(self.stage, Stage::AwaitingLength) {
@@ -264,7 +265,7 @@
         self.advance();
     }
 
-    /// Goes on to the next request, if the one in hand is done with.
+    /// Moves on to the next request, if the current one is read and answered.
     fn advance(&mut self) {
         if !self.is_answered || !self.stage.is_whole() {
             return;
@@ -277,6 +278,7 @@
         }
     }
 
+    /// Restarts the scan for the next head at `position`.
     fn scan_from(&mut self, position: u64) {
         self.next_start = position;
         self.scan_position = position;
@@ -284,12 +286,12 @@
         self.next_waits = false;
     }
 
-    /// Returns where a place is among the bytes that are held.
+    /// Returns the index in the buffer of a position.
     fn buffer_index(&self, position: u64) -> usize {
         usize::try_from(position.saturating_sub(self.read_position)).unwrap_or(usize::MAX)
     }
 
-    /// Returns when the byte before `end` came.
+    /// Returns when the byte before `end` arrived.
     fn arrival_of(&self, end: u64) -> Instant {
         let read = self.reads.iter().find(|(to, _)| *to >= end);
         read.map_or_else(Instant::now, |(_, at)| *at)
--- a/src/web/pipelined_body.rs
+++ b/src/web/pipelined_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer in its turn.
+//! The body of an answer on a connection with pipelining.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::pipeline::Pipeline;
 use super::{CallerBody, IncompleteBody};
 
-/// The body of an answer; once it is dropped, the next request has its turn.
+/// The body of an answer; dropping it lets the server read the next request.
 #[derive(Debug)]
 pub(super) struct PipelinedBody {
     body: CallerBody,
@@ -19,7 +19,7 @@
 }
 
 impl PipelinedBody {
-    /// Makes the body of the answer to the request in hand.
+    /// Wraps the body of the answer to the current request.
     pub(super) fn new(body: CallerBody, pipeline: Arc<Mutex<Pipeline>>) -> Self {
         Self { body, pipeline }
     }
--- a/src/web/pipelined_stream.rs
+++ b/src/web/pipelined_stream.rs
@@ -1,4 +1,4 @@
-//! A connection whose next requests are read, and begun, ahead of their turn.
+//! A connection whose pipelined requests are read and started early.
 
 use std::io;
 use std::pin::Pin;
@@ -14,25 +14,25 @@
 use super::early_request::EarlyRequest;
 use super::pipeline::Pipeline;
 
-/// The side of a connection that the server reads: one request at a time,
-/// however many have come.
+/// The stream that the HTTP server reads, which passes it one request at a time and
+/// buffers pipelined ones.
 pub(super) struct PipelinedStream<S> {
     stream: TcpStream,
     connection: CallerConnection<S>,
 }
 
 impl<S: RequestHandler> PipelinedStream<S> {
-    /// Reads from `stream`.
+    /// Wraps `stream`.
     pub(super) const fn new(stream: TcpStream, connection: CallerConnection<S>) -> Self {
         Self { stream, connection }
     }
 
-    /// Returns the connection itself.
+    /// Returns the underlying stream.
     pub(super) fn into_inner(self) -> TcpStream {
         self.stream
     }
 
-    /// Begins the requests that have come, as far as they may be.
+    /// Starts the buffered requests that may run now.
     fn start_early(&self, pipeline: &mut Pipeline) {
         let CallerConnection {
             from,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Reads what comes while the request in hand is under way; `buf` is left
-    /// as it is, unless the connection ends.
+    /// Reads pipelined requests while the current one is in progress; `buf` stays
+    /// unchanged unless the connection ends.
     fn read_ahead(
         &mut self,
         pipeline: &mut Pipeline,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Nothing of it is pinned in place.
+/// No field is structurally pinned.
 impl<S> Unpin for PipelinedStream<S> {}
 
 impl<S: RequestHandler> AsyncRead for PipelinedStream<S> {
--- a/src/web/request_handler.rs
+++ b/src/web/request_handler.rs
@@ -1,4 +1,4 @@
-//! What serves the requests of callers.
+//! Handlers of callers' requests.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 
 use super::CallerAnswer;
 
-/// The work on a request, which ends when it is dropped.
+/// The answer to a request in progress; dropping it cancels the request.
 pub type AnswerFuture = Pin<Box<dyn Future<Output = CallerAnswer> + Send>>;
 
-/// Serves the requests of callers.
+/// Handles the requests of callers.
 pub trait RequestHandler: Clone + Send + Sync + 'static {
-    /// Serves a request whose head had come at `came`.
+    /// Handles a request whose head was complete at `arrived_at`.
     fn serve(
         &self,
         request: Request<Incoming>,
@@ -24,10 +24,10 @@
         from: SocketAddr,
     ) -> AnswerFuture;
 
-    /// Begins a safe request without a body before its turn; `None` if it has
-    /// to wait.
+    /// Starts a pipelined safe request without a body before earlier ones are
+    /// answered; `None` if it has to wait for them.
     ///
-    /// Its work is dropped without an answer if the connection ends before.
+    /// The future is dropped if the connection ends before the answer is sent.
     fn start_early(
         &self,
         head: Parts,
@@ -36,14 +36,14 @@
     ) -> Option<AnswerFuture>;
 }
 
-/// A function serves each request in its turn.
+/// A function handles requests one after another.
 impl<H, F> RequestHandler for H
 where
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = CallerAnswer> + Send + 'static,
 {
     fn serve(&self, request: Request<Incoming>, _: Instant, from: SocketAddr) -> AnswerFuture {
-        // Put on the heap at once: it is large, and would be copied thrice.
+        // Boxed here, since the future is large and would be copied three times.
         Box::pin(self(request, from))
     }
 
--- a/src/web/stage.rs
+++ b/src/web/stage.rs
@@ -1,32 +1,32 @@
-//! Which part of a message the server is given next.
+//! The part of a request that the HTTP server reads next.
 
 use super::head_scanner::HeadScanner;
 
-/// Which part of a message the server is given next.
+/// The part of a request that the HTTP server reads next.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Stage {
-    /// Its head.
+    /// The head.
     Head(HeadScanner),
-    /// Nothing, until the server has told how long the body is.
+    /// Nothing, until the server has parsed the head and the body's length is known.
     AwaitingLength,
-    /// So many bytes of its body; nothing more until it is answered.
+    /// This many bytes of the body, then nothing until the request is answered.
     Body(u64),
-    /// All that comes: where messages end is not known.
+    /// Everything, since the ends of requests aren't known.
     Unbounded,
 }
 
 impl Stage {
-    /// Before the first byte of a message.
+    /// Returns the stage before the first byte of a request.
     pub(super) fn new() -> Self {
         Self::Head(HeadScanner::default())
     }
 
-    /// Tells whether the server has the whole message.
+    /// Returns whether the server has read the whole request.
     pub(super) const fn is_whole(&self) -> bool {
         matches!(self, Self::Body(0))
     }
 
-    /// Passes bytes to the server; returns how many belong to the message.
+    /// Returns how many of `bytes` the server may read, and moves on past them.
     pub(super) fn consume(&mut self, bytes: &[u8]) -> usize {
         match self {
             Self::Head(scanner) => match scanner.find_end(bytes) {
@@ -36,7 +36,8 @@
                 }
                 None => bytes.len(),
             },
-            // The server takes the head to go on, so nothing is known.
+            // The server reads on as if the head weren't complete, so the end of
+            // the request isn't known.
             Self::AwaitingLength => {
                 *self = Self::Unbounded;
                 bytes.len()
--- a/src/web/threaded_server.rs
+++ b/src/web/threaded_server.rs
@@ -1,4 +1,4 @@
-//! Serving of HTTP.
+//! An HTTP server of `xitca-web` that runs on threads of its own.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,23 +14,23 @@
 
 use crate::error::Error;
 
-/// A request as `xitca-web` gives it.
+/// A request received by a [`ThreadedServer`].
 pub type HttpRequest = Request<RequestExt<RequestBody>>;
-/// An answer as `xitca-web` takes it.
+/// An answer sent by a [`ThreadedServer`].
 pub type HttpResponse = Response<ResponseBody>;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Largest head of a request, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const MAX_HEAD: usize = 32 * 1024;
-/// Largest buffer of answers not yet written, in bytes.
+/// Maximum size of the buffer of unsent answers, in bytes.
 const MAX_WRITE_BUFFER: usize = 256 * 1024;
-/// How long a connection may be idle.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a request's head may take.
+/// Time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A server that runs until it is stopped.
+/// An HTTP server that runs until it is stopped or dropped.
 pub struct ThreadedServer {
     address: SocketAddr,
     handle: xitca_server::ServerHandle,
@@ -38,12 +38,12 @@
 }
 
 impl ThreadedServer {
-    /// Returns the address it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it at once; calls in flight should have ended before.
+    /// Stops the server at once, without waiting for requests in flight.
     pub fn stop(&mut self) {
         self.handle.stop(false);
         if let Some(thread) = self.thread.take() {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Binds `address` and serves `handler` with `workers` threads.
+/// Binds `address` and serves requests with `handler` on `workers` threads.
 ///
 /// # Errors
 ///
@@ -101,7 +101,7 @@
     })
 }
 
-/// Answers with JSON.
+/// Builds an answer with a JSON body.
 pub fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(ResponseBody::bytes(body));
@@ -111,7 +111,7 @@
     answer
 }
 
-/// Answers with text.
+/// Builds an answer with a plain text body.
 pub fn answer_text(status: StatusCode, text: impl Into<String>) -> HttpResponse {
     let mut answer = Response::new(ResponseBody::bytes(text.into()));
     *answer.status_mut() = status;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Pooled connections that carry one request at a time.
+//! A pool of connections that carry one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     (listener, address)
 }
 
-/// Lets the task of a connection see what the other end did.
+/// Waits until the task of a connection has seen what the other end did.
 async fn settle() {
     tokio::time::sleep(Duration::from_millis(20)).await;
 }
@@ -174,8 +174,8 @@
     assert_eq!(end.expect("to end").expect("to read"), 0);
 }
 
-// Guards against a request on a connection that the other end closes just then,
-// though it had said when: one that must not run twice is lost.
+// Guards against sending a request on a connection just as the server closes it at
+// the time that it announced: a request that must not run twice would be lost.
 #[tokio::test]
 async fn request_skips_a_connection_that_is_about_to_close() {
     let (listener, address) = listener().await;
--- a/tests/downloads.rs
+++ b/tests/downloads.rs
@@ -1,4 +1,4 @@
-//! Answers that are streamed, and servers that break them off.
+//! Streamed answers, and backend servers that break them off.
 
 #![allow(missing_docs)]
 
@@ -18,18 +18,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Requests served well before, of which a share may be repeated later.
+/// Number of complete answers before the broken ones; retries are limited to a
+/// share of these.
 const FIRST_ANSWERS: usize = 60;
-/// Pause before each of these.
+/// Pause before each of the first requests.
 const PAUSE: Duration = Duration::from_millis(20);
-/// Length that the answers are said to have; more than is held whole.
+/// Content length of the broken answers; more than is held whole.
 const CONTENT_LENGTH: usize = 2_000_000;
 
-/// Ids of the requests that reached the server that breaks off.
+/// Ids of the requests that reached the server that breaks off its answers.
 type Reached = Arc<Mutex<Vec<String>>>;
 
-/// Answers each request with a head and so many bytes of the body, or with
-/// nothing at all.
+/// Answers each request with a head and `bytes` bytes of the body, or not at all
+/// if `None`.
 async fn break_off(address: SocketAddr, bytes: Option<usize>, reached: Reached) {
     let listener = TcpListener::bind(address).await.expect("a listener");
     while let Ok((stream, _)) = listener.accept().await {
@@ -63,7 +64,7 @@
     stream.write_all(&vec![b'x'; bytes]).await
 }
 
-/// Sends a request; tells whether the other server's whole answer came.
+/// Sends a request; returns whether the other server's complete answer came back.
 async fn ask(callers: SocketAddr, id: &str) -> bool {
     let url = format!("http://{callers}/read/x");
     let sent = headers(&[
--- a/tests/pipelined_callers.rs
+++ b/tests/pipelined_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first is answered.
+//! Callers that pipeline requests.
 
 #![allow(missing_docs)]
 
@@ -27,20 +27,20 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Long enough for a request on loopback to be begun, if it is.
+/// Long enough for a request on loopback to be started, if it is at all.
 const START_WAIT: Duration = Duration::from_millis(150);
-/// Until the work for a caller that left has ended.
+/// Time within which the requests of a disconnected caller are cancelled.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The path of requests that the handler doesn't begin.
+/// Path of requests that the handler doesn't start early.
 const LATE_PATH: &str = "/own-turn";
 
-/// Holds each request until its path is released.
+/// Answers each request once its path is released.
 #[derive(Clone)]
 struct BlockingHandler(Arc<State>);
 
 struct State {
     released: watch::Sender<BTreeSet<String>>,
-    /// Path, arrival and body of each request that was begun.
+    /// Path, arrival and body of each started request.
     started: Mutex<Vec<(String, Instant, String)>>,
     running: AtomicUsize,
 }
@@ -119,7 +119,7 @@
     }
 }
 
-/// A connection of a caller.
+/// A caller with one connection.
 struct Caller {
     stream: TcpStream,
     read: Vec<u8>,
@@ -139,7 +139,7 @@
         sent.expect("bytes sent");
     }
 
-    /// Reads one answer, its length told; `None` if the connection ends first.
+    /// Reads an answer with a content length; `None` if the connection ends first.
     async fn answer(&mut self) -> Option<(String, String)> {
         loop {
             let text = String::from_utf8_lossy(&self.read).into_owned();
