--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -158,7 +158,7 @@
             }
             self.retries += 1;
             let journal = &self.context.shared.journal;
-            let reason = StepDetail::Word(failed.reason().as_str());
+            let reason = StepDetail::Reason(failed.reason().as_str());
             journal.record(self.head().call, CallStep::Retried, reason);
             last = Some(failed);
         }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -108,7 +108,7 @@
                 shared.journal.record(
                     call,
                     CallStep::Refused,
-                    StepDetail::Word(refusal.reason().as_str()),
+                    StepDetail::Reason(refusal.reason().as_str()),
                 );
                 let ticket = self.ticket(&accepted, &refusal);
                 answering.refusal(Some(call), &refusal, ticket.as_ref())
--- a/src/guard/serve.rs
+++ b/src/guard/serve.rs
@@ -200,7 +200,7 @@
             Ok(_) => journal.record(head.call, CallStep::Started, StepDetail::None),
             Err(shed) => {
                 self.shared.metrics.count_reason("shed", shed.as_str());
-                journal.record(head.call, CallStep::Shed, StepDetail::Word(shed.as_str()));
+                journal.record(head.call, CallStep::Shed, StepDetail::Reason(shed.as_str()));
             }
         }
         result
--- a/src/tables/current.rs
+++ b/src/tables/current.rs
@@ -13,15 +13,15 @@
 /// One version of the configuration with its documents.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
-    /// Names the version and its documents.
+    /// The version and the hashes of its documents.
     pub manifest: Manifest,
     /// The documents by name.
     pub documents: BTreeMap<DocumentName, Document>,
-    /// What the documents say.
+    /// The estate that the documents describe.
     pub estate: Estate,
 }
 
-/// The configuration in force, which is only ever replaced by a later one.
+/// The configuration in force, which only a later version replaces.
 #[derive(Debug, Default)]
 pub struct CurrentConfiguration {
     state: RwLock<ActiveState>,
@@ -34,7 +34,7 @@
 }
 
 impl CurrentConfiguration {
-    /// Returns what is in force, if anything is yet.
+    /// Returns the configuration in force, if there is one yet.
     pub fn get(&self) -> Option<Arc<ActiveConfiguration>> {
         self.state.read().active.clone()
     }
@@ -44,20 +44,20 @@
         self.state.read().rollout.current()
     }
 
-    /// Decides on a version that was heard of.
+    /// Decides whether an advertised version should be applied.
     pub fn decide(&self, version: Version) -> VersionDecision {
         self.state.read().rollout.decide(version)
     }
 
-    /// Puts a version in force; returns whether it was later than the present.
+    /// Puts a version in force; returns whether it was later than the current one.
     ///
     /// # Errors
     ///
-    /// Fails if the documents are not those of the manifest or make no estate;
-    /// what was in force stays so.
+    /// Fails if the documents don't match the manifest or don't describe a valid
+    /// estate; the configuration in force then stays.
     pub fn apply(&self, manifest: Manifest, documents: Vec<Document>) -> Result<bool, Error> {
         if Manifest::index(&documents) != manifest.documents {
-            let message = "the documents are not those of the manifest";
+            let message = "the documents do not match the manifest";
             return Err(Error::value("configuration", message));
         }
         let estate = join(&documents)?;
--- a/src/tables/journal.rs
+++ b/src/tables/journal.rs
@@ -1,4 +1,4 @@
-//! What this daemon decided on recent calls, for `bramleyctl explain`.
+//! The latest decisions on calls at this daemon, for `bramleyctl explain`.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,14 +10,14 @@
 use super::unix_ms;
 use crate::model::{CallId, Instance};
 
-/// Notes that are kept.
+/// Maximum number of records; the oldest is dropped first.
 const MAX_RECORDS: usize = 8192;
 
-/// What was decided.
+/// A step in the handling of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallStep {
-    /// The entry took the call.
+    /// The entry accepted the call.
     Entered,
     /// The entry sent an attempt.
     Sent,
@@ -40,21 +40,21 @@
 pub struct JournalEntry {
     /// The call, in hex.
     pub call: Box<str>,
-    /// What was decided.
+    /// The step.
     pub step: CallStep,
-    /// More on it: where to, and why.
+    /// The target of the step or the reason for it.
     pub detail: Box<str>,
     /// When, in milliseconds of Unix time.
     pub unix_ms: u64,
 }
 
-/// What is noted beside a step; made into text only when somebody asks.
+/// Further data on a step, formatted only when it is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepDetail {
-    /// Nothing.
+    /// No further data.
     None,
-    /// A fixed word.
-    Word(&'static str),
+    /// A fixed reason.
+    Reason(&'static str),
     /// The status of an answer.
     Status(StatusCode),
     /// The daemon that a call was sent to.
@@ -65,7 +65,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::None => Ok(()),
-            Self::Word(word) => f.write_str(word),
+            Self::Reason(reason) => f.write_str(reason),
             Self::Status(status) => f.write_str(status.as_str()),
             Self::Target(target) => target.fmt(f),
         }
@@ -80,14 +80,14 @@
     unix_ms: u64,
 }
 
-/// The latest notes, bounded in number.
+/// The latest decisions on calls, bounded in number.
 #[derive(Default)]
 pub struct CallJournal {
     records: Mutex<VecDeque<Record>>,
 }
 
 impl CallJournal {
-    /// Adds a note.
+    /// Records a step of a call.
     pub fn record(&self, call: CallId, step: CallStep, detail: StepDetail) {
         let record = Record {
             call,
@@ -102,7 +102,7 @@
         records.push_back(record);
     }
 
-    /// Returns the notes on a call, oldest first.
+    /// Returns the entries of a call, oldest first.
     pub fn find(&self, call: CallId) -> Vec<JournalEntry> {
         self.records
             .lock()
--- a/src/tables/log_limiter.rs
+++ b/src/tables/log_limiter.rs
@@ -1,12 +1,12 @@
-//! Log lines on single calls, bounded under load.
+//! Rate limit for log lines about single calls.
 
 use std::time::Duration;
 
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// Lines on calls a second and at once. At 13 daemons of the users' smallest
-/// estate this is 650 lines a second, about 200 KB.
+/// Log lines about single calls, per second and per burst. At the 13 daemons of
+/// the users' smallest estate this is 650 lines a second, about 200 KB.
 const LINES_PER_S: f64 = 50.0;
 const LINES_BURST: f64 = 200.0;
 
@@ -17,7 +17,7 @@
     suppressed: u64,
 }
 
-/// Gives leave for log lines on single calls.
+/// A token bucket for log lines about single calls.
 #[derive(Debug)]
 pub struct CallLogLimiter {
     budget: Mutex<LineBudget>,
@@ -36,7 +36,7 @@
 }
 
 impl CallLogLimiter {
-    /// Takes leave for one line; what is not given is counted.
+    /// Takes a token for one line; counts the line as suppressed if there is none.
     pub fn try_take(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.budget.lock();
@@ -51,7 +51,7 @@
         true
     }
 
-    /// Returns the lines left out since the last question.
+    /// Returns the number of lines suppressed since the last call.
     pub fn take_suppressed(&self) -> u64 {
         std::mem::take(&mut self.budget.lock().suppressed)
     }
--- a/src/tables/mod.rs
+++ b/src/tables/mod.rs
@@ -1,18 +1,18 @@
-//! Tables that the workers of one daemon share.
+//! Tables shared by the tasks of one daemon.
 //!
-//! Lock order: a thread that holds a lock takes only locks further down this
-//! list, and holds none across an await.
+//! Lock order: a thread that holds a lock may only take locks further down this
+//! list. No lock is held across an await.
 //!
 //! 1. `CurrentConfiguration` (configuration in force)
 //! 2. `Members` (view of the estate)
-//! 3. `OwnershipTable` (home rows)
+//! 3. `OwnershipTable` (ownership rows)
 //! 4. `TargetTables` (tables of targets), then one table
-//! 5. `RouteSplits` (divisions of routes)
-//! 6. `ParentCalls` (held calls), then one account
+//! 5. `RouteSplits` (weighted splits of routes)
+//! 6. `ParentCalls` (calls in flight at the backend server), then one account
 //! 7. `Gate` (admission)
 //! 8. `Ledger` (once calls)
-//! 9. `SuspectTable` (requests under way at crashes)
-//! 10. `WorkspaceRates` (credit of workspaces): the ring, stocks, then buckets
+//! 9. `SuspectTable` (requests in flight at crashes)
+//! 10. `WorkspaceRates` (credit of workspaces): the ring, credits, then buckets
 //! 11. `CallJournal` and histograms
 
 mod current;
--- a/src/tables/notices.rs
+++ b/src/tables/notices.rs
@@ -1,4 +1,4 @@
-//! What backend servers have said of themselves, as this daemon's entry was told.
+//! Notices of backend servers, as guards relayed them to this daemon's entry.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 
 use crate::model::Told;
 
-/// Most servers that are remembered; the one heard of longest ago goes first.
+/// Maximum number of servers; the oldest notice is dropped first.
 const MAX_SERVERS: usize = 1024;
-/// How long what was told is told back; a guard that starts again hears of it
-/// from the first call.
+/// How long a notice is sent back to guards. A restarted guard learns it from
+/// the first call that it receives.
 const NOTICE_TTL: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
@@ -21,21 +21,21 @@
     received: Instant,
 }
 
-/// What backend servers have said of themselves, by the VM they are on.
+/// The last notice of each backend server, by the address of its guard.
 ///
-/// It outlives the guards that told it: a guard that has started again beside
-/// the same run of its server has not heard it yet.
+/// A notice outlives the guard that relayed it: after a restart beside the same
+/// run of its server, a guard has not received the notice yet.
 #[derive(Debug, Default)]
 pub struct ServerNotices {
     by_vm: Mutex<HashMap<SocketAddr, StampedNotice>>,
 }
 
 impl ServerNotices {
-    /// Takes note that the server on the VM of `address` has answered, and has
-    /// nothing to say of itself.
+    /// Records that the server behind the guard at `address` answered without a
+    /// notice.
     pub fn record_none(&self, address: SocketAddr) {
         let mut by_vm = self.by_vm.lock();
-        // Answers may be older than a server's word that it leaves.
+        // The answer may be older than the notice that the server is leaving.
         if by_vm
             .get(&address)
             .is_some_and(|known| !known.notice.leaving)
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes what the guard at `address` told of its server.
+    /// Records a notice that the guard at `address` relayed from its server.
     pub fn record(&self, address: SocketAddr, notice: Told) {
         let mut by_vm = self.by_vm.lock();
         let known = by_vm.get(&address).map(|known| known.notice);
@@ -57,7 +57,8 @@
         by_vm.insert(address, StampedNotice { notice, received });
     }
 
-    /// Returns what the server on the VM of `address` has said of itself.
+    /// Returns the last notice of the server behind the guard at `address`, unless
+    /// it is too old.
     pub fn get(&self, address: SocketAddr) -> Option<Told> {
         let by_vm = self.by_vm.lock();
         let known = by_vm.get(&address)?;
--- a/src/tables/ownership.rs
+++ b/src/tables/ownership.rs
@@ -1,4 +1,4 @@
-//! Home rows as this daemon knows them.
+//! Ownership rows of once calls, as last known to this daemon.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use crate::policy::once::OwnershipRow;
 use crate::store::Revision;
 
-/// A home row at one revision.
+/// An ownership row at one revision.
 #[derive(Clone, Debug)]
 pub struct StoredOwnership {
     /// The revision of the row.
     pub revision: Revision,
-    /// Its content.
+    /// The content of the row.
     pub row: Arc<OwnershipRow>,
 }
 
@@ -26,7 +26,7 @@
     digest: u64,
 }
 
-/// The latest home row known of each service.
+/// The latest known ownership row of each service.
 #[derive(Debug, Default)]
 pub struct OwnershipTable {
     known: RwLock<KnownRows>,
@@ -39,7 +39,7 @@
         known.rows.get(service).map(|(stored, _)| stored.clone())
     }
 
-    /// Takes a row unless a later one is known; returns whether it was taken.
+    /// Stores a row unless a later one is known; returns whether it was stored.
     pub fn update(&self, service: &ServiceName, revision: Revision, row: OwnershipRow) -> bool {
         let mut known = self.known.write();
         let old = known.rows.get(service).map(|(stored, _)| stored.revision);
@@ -58,7 +58,7 @@
         true
     }
 
-    /// Returns the rows taken after `since`, and the count of changes.
+    /// Returns the rows stored after `since`, and the count of changes.
     pub fn changes_since(
         &self,
         since: ChangeCount,
@@ -73,7 +73,7 @@
         (rows, known.change)
     }
 
-    /// Returns a digest that is equal for equal sets of rows.
+    /// Returns a digest that is equal for equal sets of rows, in any order.
     pub fn digest(&self) -> u64 {
         self.known.read().digest
     }
--- a/src/tables/parent_calls.rs
+++ b/src/tables/parent_calls.rs
@@ -1,4 +1,4 @@
-//! The calls that this daemon's backend server is working on.
+//! Calls in flight at this daemon's backend server, which onward calls refer to.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::retry::RetryAccount;
 
-/// What onward calls of a held call need to know of it.
+/// A call in flight at the backend server, as its onward calls need it.
 #[derive(Debug)]
 pub struct ParentCall {
-    /// The request at the root of the tree.
+    /// The root call of the call tree.
     pub root: RootId,
     /// The class of the request.
     pub class: ClassName,
-    /// Who called first, if declared.
+    /// The caller of the root call, if declared.
     pub caller: Option<CallerName>,
-    /// The workspace of the request at the root of the tree, if known.
+    /// The workspace of the root call, if known.
     pub workspace: Option<WorkspaceId>,
-    /// The place in the order of admission.
+    /// The priority at admission.
     pub priority: Priority,
-    /// How many calls stand above.
+    /// The number of calls above it in the call tree.
     pub depth: Depth,
     /// When the caller stops waiting.
     pub deadline: Instant,
     /// The key of the call, if it must run at most once.
     pub once: Option<OnceKey>,
-    /// The retries of the call and all below it.
+    /// The retries available to the call and all calls below it.
     pub account: Mutex<RetryAccount>,
     onward_outcomes: Mutex<Vec<OnwardOutcome>>,
 }
 
 impl ParentCall {
-    /// Holds a call.
+    /// Makes a parent call from the head of a call.
     pub fn new(head: &crate::call::CallHead) -> Self {
         Self {
             root: head.root,
@@ -53,30 +53,30 @@
         }
     }
 
-    /// Takes note of what an onward call met.
+    /// Records the outcome of an onward call.
     pub fn record_onward(&self, outcome: OnwardOutcome) {
         self.onward_outcomes.lock().push(outcome);
     }
 
-    /// Returns what the onward calls met so far.
+    /// Takes out the outcomes recorded so far.
     pub fn take_onward_outcomes(&self) -> Vec<OnwardOutcome> {
         std::mem::take(&mut self.onward_outcomes.lock())
     }
 
-    /// Ends the holding and returns the retries that go home.
+    /// Closes the retry account and returns the unused retries.
     pub fn close(&self) -> Retries {
         self.account.lock().close()
     }
 }
 
-/// All held calls by id.
+/// All parent calls by id.
 #[derive(Debug, Default)]
 pub struct ParentCalls {
     by_id: Mutex<HashMap<CallId, Arc<ParentCall>>>,
 }
 
 impl ParentCalls {
-    /// Holds a call until the returned guard is dropped.
+    /// Registers a call until the returned guard is dropped.
     pub fn register(self: &Arc<Self>, id: CallId, call: ParentCall) -> ParentCallGuard {
         let call = Arc::new(call);
         self.by_id.lock().insert(id, Arc::clone(&call));
@@ -87,23 +87,23 @@
         }
     }
 
-    /// Returns a held call.
+    /// Returns the parent call with an id.
     pub fn get(&self, id: CallId) -> Option<Arc<ParentCall>> {
         self.by_id.lock().get(&id).cloned()
     }
 
-    /// Returns the number of held calls.
+    /// Returns the number of parent calls.
     pub fn len(&self) -> usize {
         self.by_id.lock().len()
     }
 
-    /// Tells whether no call is held.
+    /// Returns whether there is no parent call.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Keeps one call held while it lives.
+/// Keeps one call registered until it is dropped.
 #[derive(Debug)]
 pub struct ParentCallGuard {
     calls: Arc<ParentCalls>,
--- a/src/tables/rates.rs
+++ b/src/tables/rates.rs
@@ -1,4 +1,4 @@
-//! The credit of workspaces at this daemon, and that of those it coordinates.
+//! Local credit of workspaces, and the buckets of those that this daemon coordinates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
     Sharing,
 };
 
-/// How often idle entries are looked for, by questions for credit.
+/// Queries for credit between two removals of idle buckets.
 const QUERIES_PER_SWEEP: u64 = 4096;
 
-/// The credit of one workspace at this daemon.
+/// The local credit of one workspace.
 #[derive(Debug)]
 pub struct WorkspaceCredit {
     local: Mutex<LocalCredit>,
     querying: AtomicBool,
-    /// Wakes requests that wait for the coordinator's answer.
+    /// Wakes requests that wait for the coordinator's grant.
     pub grant_notify: Notify,
     admitted: AtomicU64,
     refused: AtomicU64,
 }
 
-/// What became of the requests of one workspace by its rate.
+/// The requests of one workspace, counted by the decision on its rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RateCount {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Requests that were within the rate.
+    /// Requests within the rate.
     pub admitted: u64,
-    /// Requests that were over it.
+    /// Requests over the rate.
     pub refused: u64,
 }
 
-/// The ring, and since when it has been as it is.
+/// The hash ring of coordinators, and when it last changed.
 #[derive(Debug)]
 struct RingState {
     change: Option<ChangeCount>,
@@ -51,7 +51,7 @@
     since: Instant,
 }
 
-/// The credit of all limited workspaces.
+/// The credit of all workspaces with a rate limit.
 #[derive(Debug)]
 pub struct WorkspaceRates {
     tolerance: RateTolerance,
@@ -59,12 +59,12 @@
     credits: Mutex<HashMap<WorkspaceName, Arc<WorkspaceCredit>>>,
     buckets: Mutex<HashMap<WorkspaceName, CreditBucket>>,
     grant_queries: AtomicU64,
-    /// Wakes the task that tells coordinators of the demand.
+    /// Wakes the task that reports demand to coordinators.
     pub demand_notify: Notify,
 }
 
 impl WorkspaceRates {
-    /// Makes empty tables under what an estate tolerates.
+    /// Makes empty tables with a rate tolerance.
     pub fn new(tolerance: RateTolerance) -> Self {
         Self {
             tolerance,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the ring of the members of a view.
+    /// Returns the hash ring of the members of a view.
     pub fn ring(&self, view: &View) -> Arc<HashRing> {
         let mut state = self.ring.lock();
         if state.change != Some(view.change()) {
@@ -94,7 +94,7 @@
         Arc::clone(&state.ring)
     }
 
-    /// Returns the credit of a workspace here.
+    /// Returns the local credit of a workspace.
     pub fn credit(&self, workspace: &WorkspaceName) -> Arc<WorkspaceCredit> {
         let mut credits = self.credits.lock();
         match credits.get(workspace) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes the credit of one request out.
+    /// Takes the credit of one request, if there is enough.
     pub fn try_take(
         &self,
         credit: &WorkspaceCredit,
@@ -125,9 +125,10 @@
         decision
     }
 
-    /// Returns what to ask the coordinator for, if it is time to and nobody
-    /// asks already; whoever gets this calls [`WorkspaceCredit::end_query`] in the end. A
-    /// request that `waits` depends on the answer.
+    /// Returns the query to send to the coordinator, if one is due and none is in
+    /// flight. `waits` says whether a request depends on the answer.
+    ///
+    /// The caller must call [`WorkspaceCredit::end_query`] in the end.
     pub fn begin_query(&self, credit: &WorkspaceCredit, waits: bool) -> Option<CreditQuery> {
         if self.tolerance.sharing == Sharing::Equal {
             return None;
@@ -143,7 +144,7 @@
         query
     }
 
-    /// Tells whether requests of a workspace arrived here lately.
+    /// Returns whether any workspace had requests here recently.
     pub fn is_active(&self) -> bool {
         let credits = self.credits.lock();
         credits
@@ -151,8 +152,9 @@
             .any(|credit| credit.local.lock().is_registered())
     }
 
-    /// Returns what is to be told to coordinators now; whoever gets this calls
-    /// [`WorkspaceCredit::end_query`] on each in the end.
+    /// Returns the demand reports that are due to be sent to coordinators.
+    ///
+    /// The caller must call [`WorkspaceCredit::end_query`] on each in the end.
     pub fn begin_reports(&self) -> Vec<(WorkspaceName, Arc<WorkspaceCredit>, CreditQuery)> {
         let now = Instant::now();
         let credits = self.credits.lock();
@@ -169,13 +171,13 @@
         reports.collect()
     }
 
-    /// Takes note that the coordinator did not answer.
+    /// Records that the coordinator did not answer.
     pub fn record_no_answer(&self, credit: &WorkspaceCredit, members: usize) {
         let mut local = credit.local.lock();
         local.record_no_answer(Instant::now(), &self.tolerance, members, &mut rand::rng());
     }
 
-    /// Lends credit of a workspace that this daemon coordinates.
+    /// Grants credit of a workspace that this daemon coordinates.
     pub fn grant(
         &self,
         workspace: &WorkspaceName,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Returns what became of requests by their rates, the largest first.
+    /// Returns the counts of the `limit` workspaces with most requests, largest first.
     pub fn counts(&self, limit: usize) -> Vec<RateCount> {
         let credits = self.credits.lock();
         let mut counts: Vec<RateCount> = credits
@@ -233,35 +235,35 @@
         }
     }
 
-    /// Takes note of a request that arrives.
+    /// Records an arriving request.
     pub fn record_arrival(&self) {
         self.local.lock().record_arrival(Instant::now());
     }
 
-    /// Gives back the credit of a request that no backend server got.
+    /// Returns the credit of a request that reached no backend server.
     pub fn refund(&self) {
         self.local.lock().refund(Instant::now());
     }
 
-    /// Takes the coordinator's answer.
+    /// Adds the credit that the coordinator granted.
     pub fn apply_grant(&self, grant: CreditGrant) {
         self.local.lock().apply_grant(Instant::now(), grant);
     }
 
-    /// Ends the asking and wakes those who wait.
+    /// Ends the query and wakes the requests that wait for it.
     pub fn end_query(&self) {
         self.querying.store(false, Ordering::Release);
         self.grant_notify.notify_waiters();
     }
 
-    /// Tells whether the coordinator is being asked.
+    /// Returns whether a query to the coordinator is in flight.
     pub fn is_querying(&self) -> bool {
         self.querying.load(Ordering::Acquire)
     }
 }
 
-/// Spread of the time after which callers over their rate come back, so that
-/// they do not come together.
+/// Lengthens a wait by a random factor of up to two, so that callers over their
+/// rate don't all retry at once.
 pub fn add_jitter(wait: Duration) -> Duration {
     wait.mul_f64(rand::Rng::random_range(&mut rand::rng(), 1.0..2.0))
 }
--- a/src/tables/readiness.rs
+++ b/src/tables/readiness.rs
@@ -1,8 +1,8 @@
-//! Whether callers should be sent to this daemon.
+//! Readiness of this daemon for callers.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Whether callers should be sent to this daemon.
+/// Whether this daemon is ready for callers.
 #[derive(Debug, Default)]
 pub struct Readiness {
     members_known: AtomicBool,
@@ -10,17 +10,17 @@
 }
 
 impl Readiness {
-    /// Takes note that the other daemons have been asked for.
+    /// Records that the other daemons have been looked up.
     pub fn set_members_known(&self) {
         self.members_known.store(true, Ordering::Relaxed);
     }
 
-    /// Takes note that the daemon is about to stop.
+    /// Records that the daemon is about to stop.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the others are known and no stop is planned.
+    /// Returns whether the other daemons are known and no stop is planned.
     pub fn is_ready(&self) -> bool {
         self.members_known.load(Ordering::Relaxed) && !self.stopping.load(Ordering::Relaxed)
     }
--- a/src/tables/shared.rs
+++ b/src/tables/shared.rs
@@ -1,4 +1,4 @@
-//! All shared tables of one daemon.
+//! The shared state of one daemon.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,7 +21,8 @@
 use crate::policy::rate::{CreditGrant, CreditQuery, HashRing};
 use crate::store::{Platform, Revision};
 
-/// The tables that entry, guard, peers and operators' interface share.
+/// The state shared by the entry, the guard, the peer server and the operators'
+/// interface.
 pub struct Shared {
     /// The settings.
     pub config: Config,
@@ -31,81 +32,80 @@
     pub current: CurrentConfiguration,
     /// The members of the estate.
     pub view: Mutex<View>,
-    /// Home rows.
+    /// Ownership rows of once calls.
     pub ownership: OwnershipTable,
-    /// Targets by service.
+    /// Tables of targets by service.
     pub targets: TargetTables,
-    /// Divisions of routes among services.
+    /// Weighted splits of routes among services.
     pub route_splits: RouteSplits,
-    /// The headers spoken with callers and with the backend server.
+    /// The protocol of headers with callers and the backend server.
     pub protocol: Arc<dyn Protocol>,
-    /// Calls that the backend server works on.
+    /// Calls in flight at the backend server.
     pub parent_calls: Arc<ParentCalls>,
-    /// Requests that were under way at crashes.
+    /// Requests that were in flight at crashes.
     pub suspects: SuspectTable,
-    /// What backend servers have said of themselves.
+    /// Notices of backend servers.
     pub notices: ServerNotices,
-    /// Credit of workspaces.
+    /// Credit of workspaces with a rate limit.
     pub rates: WorkspaceRates,
-    /// Recent decisions.
+    /// Recent decisions on calls.
     pub journal: CallJournal,
-    /// Leave for log lines on single calls.
+    /// Rate limit for log lines about single calls.
     pub log_limiter: CallLogLimiter,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The platform.
+    /// The platform's store.
     pub platform: Arc<dyn Platform>,
-    /// Wakes the task that tells the estate of the backend server.
+    /// Wakes the task that publishes the state of the backend server.
     pub lease_notify: Notify,
-    /// Wakes the task that passes news on to neighbours.
+    /// Wakes the task that exchanges updates with neighbours.
     pub gossip_notify: Notify,
-    /// Wakes the task that keeps requests that are held.
+    /// Wakes the task that writes rows of quarantined requests.
     pub quarantine_notify: Notify,
-    /// Wakes the task that fills the tables of targets anew.
+    /// Wakes the task that rebuilds the tables of targets.
     pub refresh_notify: Notify,
-    /// For whom this daemon uses the platform's store.
+    /// The daemon's role at the platform's store.
     pub store_role: watch::Sender<StoreRole>,
-    /// What decides on that.
+    /// The tracker that decides on the role.
     pub role_tracker: Mutex<RoleTracker>,
-    /// The revision of the own row in the table service, while it stands there.
+    /// The revision of this daemon's member row, while it is in the store.
     pub member_row: Mutex<Option<Revision>>,
-    /// Whether the daemon takes callers.
+    /// Whether the daemon is ready for callers.
     pub readiness: Readiness,
-    /// Daemons that know something worth asking for.
+    /// Daemons with newer data, to be queried at the next exchange.
     pub pending_peers: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl Shared {
-    /// Fills the tables of targets anew after the view or the configuration
-    /// changed.
+    /// Rebuilds the tables of targets after the view or the configuration changed.
     pub fn refresh_targets(&self) {
         if let Some(in_force) = self.current.get() {
             let view = self.view.lock();
             self.targets.update(&in_force.estate, &view);
             if in_force.estate.workspaces.is_some() {
-                // Since when the ring is as it is tells what a new bucket may lend.
+                // The age of the ring decides how much a new bucket may grant.
                 self.rates.ring(&view);
             }
         }
     }
 
-    /// Has the tables of targets filled anew after members changed.
+    /// Schedules a rebuild of the tables of targets after members changed.
     ///
-    /// In a start of all a thousand members become known within a second. Each
-    /// costs a look at all, so changes that come close together are taken as one.
+    /// When an estate starts, a thousand members become known within a second. Each
+    /// rebuild goes through all members, so changes close together share one.
     pub fn members_changed(&self) {
         self.refresh_notify.notify_one();
         self.notify_gossip();
     }
 
-    /// Returns the ring of members by which workspaces are coordinated.
+    /// Returns the hash ring that assigns workspaces to their coordinators.
     pub fn ring(&self) -> Arc<HashRing> {
         let view = self.view.lock();
         self.rates.ring(&view)
     }
 
-    /// Lends credit of a workspace to the daemon at `from`; nothing where no
-    /// limit of it is known.
+    /// Grants credit of a workspace to the daemon at `from`; `None` if no limit of
+    /// the workspace is known.
     pub fn grant_credit(
         &self,
         workspace: &WorkspaceName,
@@ -118,22 +118,22 @@
         Some(self.rates.grant(workspace, limit, from, query))
     }
 
-    /// Tells whether callers should be sent here: a configuration is in force,
+    /// Returns whether the daemon is ready for callers: a configuration is in force,
     /// the other daemons are known, and no stop is planned.
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready() && self.current.version() > Version::NONE
     }
 
-    /// Takes note that a request was under way at a crash of the own server,
-    /// and passes it on.
+    /// Records that a request was in flight at a crash of this VM's server, and
+    /// passes it on.
     pub fn record_own_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
         if request.is_some_and(|request| self.suspects.record_own_crash(request, crash)) {
             self.suspects_changed();
         }
     }
 
-    /// Takes note that a request was under way at a crash that a guard told of,
-    /// and passes it on.
+    /// Records that a request was in flight at a crash that a guard reported, and
+    /// passes it on.
     pub fn record_crash(&self, request: Option<Fingerprint>, crash: CrashId) {
         if request.is_some_and(|request| self.suspects.record_crash(request, crash)) {
             self.suspects_changed();
@@ -147,27 +147,27 @@
         }
     }
 
-    /// Takes note that a server answered a request, and passes it on where it
-    /// was suspected.
+    /// Records that a server answered a request, and passes it on if the request
+    /// was a suspect.
     pub fn record_answer(&self, request: Option<Fingerprint>) {
         if request.is_some_and(|request| self.suspects.record_answer(request)) {
             self.notify_gossip();
         }
     }
 
-    /// Takes what another daemon knows of suspects, and passes it on.
-    pub fn merge_suspects(&self, news: &[Suspect]) {
-        if self.suspects.merge(news) {
+    /// Merges suspects from another daemon, and passes on what is new.
+    pub fn merge_suspects(&self, updates: &[Suspect]) {
+        if self.suspects.merge(updates) {
             self.suspects_changed();
         }
     }
 
-    /// Tells the task that news is there to pass on.
+    /// Schedules an exchange with the neighbours.
     pub fn notify_gossip(&self) {
         self.gossip_notify.notify_one();
     }
 
-    /// Notes that the daemon at `address` knows something worth asking for.
+    /// Schedules a query to the daemon at `address`, which has newer data.
     pub fn query_later(&self, address: SocketAddr) {
         self.pending_peers.lock().insert(address);
         self.notify_gossip();
--- a/src/tables/splits.rs
+++ b/src/tables/splits.rs
@@ -1,4 +1,4 @@
-//! How the requests of each route have been dealt out so far.
+//! Distribution of the requests of each route among its services.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
     split: Split,
 }
 
-/// The divisions of routes among services.
+/// The weighted splits of routes among services.
 #[derive(Debug, Default)]
 pub struct RouteSplits {
     by_route: Mutex<HashMap<RouteName, RouteSplit>>,
@@ -38,7 +38,7 @@
         route.shares.get(index)
     }
 
-    /// Forgets routes that `keep` does not know.
+    /// Removes the routes for which `is_known` returns false.
     pub fn retain(&self, is_known: impl Fn(&RouteName) -> bool) {
         self.by_route.lock().retain(|name, _| is_known(name));
     }
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that were under way at crashes, as this daemon knows them.
+//! Suspects of crashes, as last known to this daemon.
 
 use std::collections::VecDeque;
 
@@ -9,17 +9,17 @@
 use crate::policy::crash::{self, RunRestriction, Suspect};
 use crate::policy::member::ChangeCount;
 
-/// Crashes of the own server, and requests told of, that are remembered.
+/// Maximum number of own crashes, and of queued requests, that are remembered.
 const MAX_REMEMBERED: usize = 64;
 
-/// What is to be kept of requests that are held for crashes of the own server.
+/// Quarantined requests whose rows are still to be written to the platform.
 #[derive(Debug, Default)]
 struct SaveQueue {
-    /// The crashes of the own server.
+    /// Crashes of this VM's backend server.
     own_crashes: VecDeque<CrashId>,
-    /// Requests that were told of.
+    /// Requests that have been queued before.
     queued_digests: VecDeque<u128>,
-    /// Requests to tell of.
+    /// Requests to be written.
     waiting: Vec<Suspect>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Looks whether a suspect of which something new is known is to be kept.
+    /// Queues a suspect if it was in flight at a crash of this VM's server.
     fn add_if_own(&mut self, suspect: &Suspect) {
         if suspect
             .records
@@ -57,7 +57,7 @@
     }
 }
 
-/// The requests that were under way at crashes.
+/// The requests that were in flight at crashes.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     known: Mutex<crash::Suspects>,
@@ -65,7 +65,7 @@
 }
 
 impl SuspectTable {
-    /// Returns what may be done with a request.
+    /// Returns the restriction on running a request.
     pub fn restriction(&self, request: Fingerprint) -> RunRestriction {
         let known = self.known.lock();
         if known.is_empty() {
@@ -74,29 +74,29 @@
         known.restriction(Instant::now(), request)
     }
 
-    /// Takes note that a request was under way at a crash; returns whether
-    /// that is new.
+    /// Records that a request was in flight at a crash; returns whether that is
+    /// new.
     pub fn record_crash(&self, request: Fingerprint, crash: CrashId) -> bool {
         self.change(request, |known, now| {
             known.record_crash(now, request, crash)
         })
     }
 
-    /// Takes note that a request was under way at a crash of the own server;
-    /// returns whether that is new.
+    /// Records that a request was in flight at a crash of this VM's server; returns
+    /// whether that is new.
     pub fn record_own_crash(&self, request: Fingerprint, crash: CrashId) -> bool {
         self.queue.lock().record_own_crash(crash);
         self.record_crash(request, crash)
     }
 
-    /// Takes out a request that is held for a crash of the own server, to be
-    /// kept where daemons that start find it.
+    /// Takes out a quarantined request whose row is to be written, so that daemons
+    /// that start later find it.
     pub fn take_unsaved(&self) -> Option<Suspect> {
         self.queue.lock().waiting.pop()
     }
 
-    /// Begins to keep requests again that are held, since what was kept may be
-    /// lost: those that are held for crashes of the own server, or `all`.
+    /// Queues quarantined requests again after the store may have lost their rows:
+    /// `all`, or only those that crashed this VM's server.
     pub fn save_again(&self, all: bool) {
         let known = self.known.lock();
         let (suspects, _) = known.changes_since(Instant::now(), ChangeCount::default());
@@ -111,18 +111,17 @@
         }
     }
 
-    /// Puts back a request that could not be kept yet.
+    /// Returns a request whose row could not be written yet.
     pub fn return_unsaved(&self, suspect: Suspect) {
         self.queue.lock().waiting.push(suspect);
     }
 
-    /// Tells whether there is a request to be kept.
+    /// Returns whether there are rows to be written.
     pub fn has_unsaved(&self) -> bool {
         !self.queue.lock().waiting.is_empty()
     }
 
-    /// Takes note that a server answered a request; returns whether it was
-    /// suspected.
+    /// Records that a server answered a request; returns whether it was a suspect.
     pub fn record_answer(&self, request: Fingerprint) -> bool {
         if self.known.lock().is_empty() {
             return false;
@@ -130,13 +129,12 @@
         self.change(request, |known, now| known.record_answer(now, request))
     }
 
-    /// Takes what another daemon knows; returns whether that is more than was
-    /// known here.
-    pub fn merge(&self, news: &[Suspect]) -> bool {
+    /// Merges an update from another daemon; returns whether it held anything new.
+    pub fn merge(&self, updates: &[Suspect]) -> bool {
         let now = Instant::now();
         let mut known = self.known.lock();
         let mut more = false;
-        for suspect in news {
+        for suspect in updates {
             if known.merge(now, suspect) {
                 more = true;
                 self.queue_if_own(known.get(now, suspect.digest));
@@ -145,18 +143,18 @@
         more
     }
 
-    /// Returns what is known of a request.
+    /// Returns the suspect for a request, if there is one.
     pub fn get(&self, request: Fingerprint) -> Option<Suspect> {
         let known = self.known.lock();
         known.get(Instant::now(), request.asked).cloned()
     }
 
-    /// Returns what changed after `since`, and the count of changes.
+    /// Returns the suspects changed after `since`, and the count of changes.
     pub fn changes_since(&self, since: ChangeCount) -> (Vec<Suspect>, ChangeCount) {
         self.known.lock().changes_since(Instant::now(), since)
     }
 
-    /// Forgets what is over.
+    /// Removes the suspects whose time is over.
     pub fn remove_expired(&self) {
         self.known.lock().remove_expired(Instant::now());
     }
@@ -167,8 +165,8 @@
         }
     }
 
-    /// Changes what is known of a request, and logs where that leads to
-    /// another decision.
+    /// Changes the suspect of a request, and logs when its quarantine begins or
+    /// ends.
     fn change(
         &self,
         request: Fingerprint,
@@ -188,7 +186,7 @@
         if let (RunRestriction::Quarantined(left), false) =
             (after, matches!(before, RunRestriction::Quarantined(_)))
         {
-            spdlog::warn!("request held, since it crashes servers", kv: {
+            spdlog::warn!("request quarantined because it crashes servers", kv: {
                 asks = request.to_string().as_str(),
                 crashes,
                 held_s = left.as_secs()
@@ -196,7 +194,7 @@
         }
         if matches!(before, RunRestriction::Quarantined(_)) && after == RunRestriction::Unrestricted
         {
-            spdlog::info!("request no longer held", kv: { asks = request.to_string().as_str() });
+            spdlog::info!("request no longer quarantined", kv: { asks = request.to_string().as_str() });
         }
         new
     }
--- a/src/tables/targets.rs
+++ b/src/tables/targets.rs
@@ -1,4 +1,4 @@
-//! The tables of targets, one per service that is called.
+//! Tables of targets, one for each called service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,9 +21,10 @@
 }
 
 impl TargetTables {
-    /// Makes the tables of an entry in the data centre `own`, whose retries
-    /// are bounded by what the estate allows, or else by the calls answered;
-    /// `balance` says by what targets are compared.
+    /// Makes the tables of an entry in `own_centre`.
+    ///
+    /// Retries are bounded by `allowance`, or without one by the number of
+    /// answered calls. `balance` is the measure by which targets are compared.
     pub fn new(
         own_centre: CentreName,
         allowance: Option<AllowanceSettings>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Fills the tables from the view of the estate.
+    /// Rebuilds the tables from the view of the estate.
     pub fn update(&self, estate: &Estate, view: &View) {
         let own = view.own().instance;
         let by_time = self.balance.is_by_time(estate.ends_early());
