--- a/src/task/follow.rs
+++ b/src/task/follow.rs
@@ -1,4 +1,4 @@
-//! Following of one row of the store.
+//! Following the changes of one row of the store.
 
 use std::time::Duration;
 
@@ -8,36 +8,36 @@
 use crate::policy::member::Budget;
 use crate::store::{Feed, FeedError, Revision, Row};
 
-/// Questions a second and at once that one daemon may ask for a row.
+/// Queries for a row by one daemon, per second and per burst.
 const QUERIES_PER_S: f64 = 4.0;
 const QUERY_BURST: f64 = 8.0;
-/// Pause before leave for another question is looked for.
-const BUDGET_POLL: Duration = Duration::from_millis(100);
-/// Pause before it is looked again whether the store is to be asked.
-const IDLE_POLL: Duration = Duration::from_millis(250);
-/// Most that failures in a row make the next question wait.
+/// How long to wait before trying the budget again.
+const BUDGET_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How often to check whether the store may be queried again.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum delay of the next query after failures.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Time over which daemons spread their reading of the whole row, where all of
-/// them must at once.
+/// Time over which daemons spread their reads of the whole row, when all of them
+/// have to read it at once.
 const REREAD_JITTER: Duration = Duration::from_millis(300);
 
-/// A row that is followed.
+/// A row to follow.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowedRow {
-    /// The row.
+    /// The key of the row.
     pub key: &'static str,
-    /// Its table.
+    /// The table of the row.
     pub table: &'static str,
-    /// How long one question for changes may stay open.
+    /// How long one query for changes may stay open.
     pub wait: Duration,
 }
 
-/// Gives each state of a row to `take`, as soon as the store tells of it, for
-/// ever. States that follow each other quickly may be passed over.
+/// Passes each state of a row to `apply` as soon as the store reports it, forever.
+/// States that follow each other quickly may be skipped.
 ///
-/// while `may_query` says that the store is not to be asked, nothing is; the row is
-/// read as a whole after that.
+/// The store isn't queried while `may_query` returns false; the whole row is read
+/// after that.
 pub async fn follow_row(
     feed: &dyn Feed,
     followed: &FollowedRow,
@@ -53,18 +53,18 @@
     loop {
         if !may_query() {
             known = None;
-            tokio::time::sleep(IDLE_POLL).await;
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
             continue;
         }
         if !budget.try_take(Instant::now()) {
-            tokio::time::sleep(BUDGET_POLL).await;
+            tokio::time::sleep(BUDGET_POLL_INTERVAL).await;
             continue;
         }
         let before = known;
         let failed = match known {
             None => read_row(feed, followed, &mut known, &mut apply).await,
-            // A store that went back may not know that it gave the place in the
-            // feed out twice, and would pass over what lies before it.
+            // A store restored from a copy may give out the same positions in the
+            // feed again, and would skip the changes before this one.
             Some(after) => tokio::select! {
                 failed = read_changes(feed, followed, after, &mut known, &mut apply) => failed,
                 Ok(()) = restored.changed() => None,
@@ -82,14 +82,14 @@
         match failed {
             None => {
                 if lost {
-                    spdlog::info!("feed regained", kv: { row = followed.key });
+                    spdlog::info!("feed available again", kv: { row = followed.key });
                 }
                 lost = false;
                 budget.record_answer();
             }
             Some(cause) => {
                 if !lost {
-                    spdlog::warn!("feed lost", kv: { row = followed.key, cause = &*cause });
+                    spdlog::warn!("feed unavailable", kv: { row = followed.key, cause = &*cause });
                 }
                 lost = true;
                 budget.record_failure(Instant::now(), &mut rand::rng());
@@ -98,7 +98,7 @@
     }
 }
 
-/// Reads the row; returns why that failed, if it did.
+/// Reads the row; returns the cause if that fails.
 async fn read_row(
     feed: &dyn Feed,
     followed: &FollowedRow,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Asks for changes; returns why that failed, if it did.
+/// Queries the changes; returns the cause if that fails.
 async fn read_changes(
     feed: &dyn Feed,
     followed: &FollowedRow,
@@ -144,7 +144,7 @@
             None
         }
         Err(FeedError::Failed(cause)) => {
-            // What came meanwhile is read as a whole.
+            // Changes may have been missed, so the whole row is read again.
             *known = None;
             Some(cause)
         }
--- a/src/task/gossip.rs
+++ b/src/task/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of news with the neighbours.
+//! Gossip: exchange of updates with the neighbours.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,19 +14,20 @@
 use crate::policy::member::{Link, LinkEvent, neighbours};
 use crate::tables::Shared;
 
-/// How often neighbours are asked when there is no news.
+/// How often updates are exchanged when nothing has changed.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// The same as long as no neighbour has answered.
+/// The interval until a neighbour has answered.
 const FIRST_INTERVAL: Duration = Duration::from_millis(100);
-/// How long news is gathered before it is passed on.
+/// How long updates are collected before they are sent.
 const GOSSIP_DELAY: Duration = Duration::from_millis(20);
-/// How often stopped members are looked through.
+/// How often stopped members, suspects and unused connections are cleaned up.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Exchanges news with the neighbours, for ever.
+/// Exchanges updates with the neighbours, forever.
 ///
-/// One that is silent holds up none of the others: half of an estate may have
-/// lost power when a version of the configuration is to reach the other half.
+/// Exchanges run concurrently, so a silent neighbour doesn't delay the others:
+/// half of an estate may have lost power when a version of the configuration has
+/// to reach the other half.
 pub async fn gossip(shared: Arc<Shared>, pool: Arc<Pool>) {
     let mut exchanges = Exchanges::default();
     let mut due = Instant::now();
@@ -51,27 +52,27 @@
     }
 }
 
-/// Drops the connections to daemons that are no members any more.
+/// Drops the connections to daemons that are no longer members.
 fn drop_connections(shared: &Shared, pool: &Pool) {
     let view = shared.view.lock();
     pool.retain(|address| view.at(*address).is_some());
 }
 
-/// An exchange that has ended.
+/// The result of an exchange with the daemon at an address.
 type EndedExchange = (SocketAddr, Result<Exchanged, ExchangeError>);
 
-/// The links to neighbours, and the exchanges under way.
+/// The links to neighbours, and the exchanges in progress.
 #[derive(Default)]
 struct Exchanges {
     links: BTreeMap<SocketAddr, Link>,
     in_progress: BTreeSet<SocketAddr>,
-    /// Neighbours to ask once more, since there was news while they were asked.
+    /// Daemons to query again, since there was an update during their exchange.
     repeat: BTreeSet<SocketAddr>,
     under_way: FuturesUnordered<BoxFuture<'static, EndedExchange>>,
 }
 
 impl Exchanges {
-    /// Asks all neighbours, and daemons that know something worth asking for.
+    /// Starts exchanges with all neighbours, and with daemons that have newer data.
     fn start_all(&mut self, shared: &Arc<Shared>, pool: &Arc<Pool>) {
         let regular = neighbour_addresses(shared);
         self.links.retain(|address, _| regular.contains(address));
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes note of what an exchange came to.
+    /// Records the result of an exchange.
     fn finish(&mut self, shared: &Shared, (address, result): EndedExchange) {
         self.in_progress.remove(&address);
         if self.repeat.remove(&address) && result.is_ok() {
@@ -106,7 +107,7 @@
         match result {
             Ok(done) => {
                 link.record_answer(now, done.told, done.same);
-                // More is to be told than a message holds.
+                // The update did not fit into one message.
                 if !done.same && done.told.sent < Some(shared.view.lock().change()) {
                     shared.notify_gossip();
                 }
@@ -116,8 +117,8 @@
     }
 }
 
-/// Returns the addresses of the neighbours; of those in the settings as long
-/// as no others are known.
+/// Returns the addresses of the neighbours, or of those in the settings while no
+/// others are known.
 fn neighbour_addresses(shared: &Shared) -> BTreeSet<SocketAddr> {
     let neighbours = neighbours(&shared.view.lock());
     let mut regular: BTreeSet<SocketAddr> = neighbours.all().map(|i| i.address).collect();
--- a/src/task/lease.rs
+++ b/src/task/lease.rs
@@ -1,4 +1,4 @@
-//! What the daemon says of its backend server.
+//! Publication of the state of this daemon's backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use crate::policy::member::MemberState;
 use crate::tables::Shared;
 
-/// How often the lease is looked at without news of the backend server.
+/// How often the lease is checked when the backend server announces nothing.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells the estate when the backend server comes, leaves or lapses, for ever.
+/// Publishes when the backend server starts, leaves or lets its lease lapse,
+/// forever.
 pub async fn watch_lease(shared: Arc<Shared>, guard: Arc<Guard>) {
     loop {
-        // What is announced counts at once; that nothing is, after a while.
+        // An announcement takes effect at once; a lapsed lease at the next check.
         let _ = tokio::time::timeout(CHECK_INTERVAL, shared.lease_notify.notified()).await;
         let state = match guard.lease_state() {
             LeaseState::Absent => MemberState::Waiting,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Says how many slots the backend server announced, if that has changed.
+/// Publishes the number of slots that the backend server announced, if it changed.
 fn update_own_slots(shared: &Shared, slots: Option<Slots>) {
     let mut view = shared.view.lock();
     if slots.is_some() && view.own().slots != slots {
@@ -36,12 +37,12 @@
     }
 }
 
-/// Says the state, if it has changed.
+/// Publishes the state of this daemon's member, if it changed.
 pub(super) fn update_own_state(shared: &Shared, state: MemberState) {
     let changed = {
         let mut view = shared.view.lock();
         let before = view.own().state;
-        // What a stopping daemon has said is not taken back.
+        // The state `Left` of a stopping daemon is final.
         let stopping = before == MemberState::Left;
         if !stopping && before != state {
             view.update_own(Instant::now(), |own| own.state = state);
@@ -49,7 +50,7 @@
         !stopping && before != state
     };
     if changed {
-        spdlog::info!("backend server", kv: { state = state.as_str() });
+        spdlog::info!("backend server state changed", kv: { state = state.as_str() });
         shared.refresh_targets();
         shared.notify_gossip();
     }
--- a/src/task/load.rs
+++ b/src/task/load.rs
@@ -1,4 +1,4 @@
-//! Regular lines on the load of the guard, while there is any to speak of.
+//! Regular log lines on the load of the guard.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 /// How often the load is logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(2);
-/// Workspaces that a line names.
+/// Maximum number of workspaces that a line names.
 const MAX_WORKSPACES: usize = 4;
 
-/// Logs the load of the guard while calls wait or are refused, for ever.
+/// Logs the load of the guard while calls wait or are shed, forever.
 pub async fn log_load(shared: Arc<Shared>, guard: Arc<Guard>) {
     let mut dropped = 0;
     let mut busy = false;
@@ -42,7 +42,7 @@
         busy = loaded;
         let suppressed = shared.log_limiter.take_suppressed();
         if suppressed > 0 {
-            spdlog::info!("lines on calls left out", kv: { count = suppressed });
+            spdlog::info!("log lines on calls suppressed", kv: { count = suppressed });
         }
         let lines = dropped_lines();
         if lines > dropped {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Logs which workspaces had most of the slots since the line before.
+/// Logs the workspaces that used most slot time since the last such line.
 fn log_workspaces(guard: &Guard) {
     let rows = guard.take_recent_usages();
     if rows.is_empty() {
--- a/src/task/member_row.rs
+++ b/src/task/member_row.rs
@@ -1,8 +1,8 @@
-//! Rows of daemons in the table service, by which others find them.
+//! Member rows in the platform's store, by which daemons find each other.
 //!
-//! Some daemons of each data centre keep a row; whoever starts and knows nobody
-//! reads these and learns of all others from their neighbours. A daemon that
-//! nobody answers keeps one too.
+//! The delegates of each data centre keep a row. A daemon that starts without
+//! known neighbours reads these rows and learns of all others by gossip. An
+//! isolated daemon keeps a row too.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,37 +14,36 @@
 use crate::store::{Condition, Revision, Row, Settled, settle};
 use crate::tables::Shared;
 
-/// What the names of the rows begin with; the address follows.
+/// Prefix of the keys of the rows; the address of the daemon follows.
 const KEY_PREFIX: &str = "member/";
-/// Pause between two looks whether the platform may be asked again.
-const BUDGET_POLL: Duration = Duration::from_millis(200);
-/// Rounds of requests a second and at once that one daemon may make.
+/// How long to wait before trying the budget again.
+const BUDGET_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Rounds of requests by one daemon, per second and per burst.
 const ROUNDS_PER_S: f64 = 2.0;
 const ROUND_BURST: f64 = 2.0;
-/// Most that failures in a row make the next round wait, so that daemons that
-/// started while the platform was away are found soon after its return.
+/// Maximum delay of the next round after failures, so that daemons that started
+/// during an outage of the platform are found soon after it.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// How long those named by rows have to answer before a daemon that found them
-/// writes a row of its own.
+/// How long the daemons found in rows have to answer before this daemon writes a
+/// row of its own.
 const MEMBER_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often the rows are read again, so that parts of an estate that started
-/// apart find each other, and rows of daemons that are gone are removed.
+/// separately find each other, and stale rows are removed.
 const REREAD_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How long a row stays after its daemon has left the store to others; in a start
-/// of all a daemon may use it for itself and, a moment later, for its data centre.
-const ROW_LINGER: Duration = Duration::from_secs(10);
+/// How long a row stays after its daemon stopped using the store. When an estate
+/// starts, a daemon may be isolated first and a delegate a moment later.
+const ROW_LINGER_TIME: Duration = Duration::from_secs(10);
 
 fn row_key(shared: &Shared) -> String {
     format!("{KEY_PREFIX}{}", shared.instance.address)
 }
 
-/// Keeps the own row and reads those of others while this daemon uses the store,
-/// for ever; again when the store has gone back.
+/// Keeps this daemon's row and reads those of others while it uses the store,
+/// forever. The row is written again after the store was restored from a copy.
 ///
-/// A row is written before the others are read. So of two daemons that keep one,
-/// the one that writes later reads that of the other, and what their neighbours
-/// know comes together.
+/// A row is written before the others are read. Of two daemons that write one,
+/// the later therefore finds the earlier, and their parts of the estate join.
 pub async fn keep_member_row(shared: Arc<Shared>) {
     let mut budget =
         Budget::with_max_backoff(Instant::now(), ROUNDS_PER_S, ROUND_BURST, MAX_BACKOFF);
@@ -78,37 +77,38 @@
     }
 }
 
-/// Reads the rows until the platform answers; returns whether there are others.
+/// Reads the rows until the platform answers; returns whether there are other
+/// members.
 async fn find_others(shared: &Shared, budget: &mut Budget) -> bool {
     run_until_answered(shared, budget, Round::Read).await;
     shared.view.lock().members().len() > 1
 }
 
-/// What is asked of the platform in one round.
+/// The requests to the platform in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Round {
-    /// The rows of others are read.
+    /// Reads the rows of others.
     Read,
-    /// The own row is written before that.
+    /// Writes the own row, then reads those of others.
     Write,
 }
 
 impl Round {
-    /// Returns whether the platform answered all of it.
+    /// Runs the requests; returns whether all of them succeeded.
     async fn run(self, shared: &Shared) -> bool {
         let own = shared.view.lock().own().clone();
         let written = self == Self::Read || write_row(shared, &own).await;
-        // Reading also goes on while the row cannot be written.
+        // Rows are read even if the own row can't be written.
         read_rows(shared).await && written
     }
 }
 
-/// Repeats a round of requests until it succeeds, or until this daemon leaves the
-/// store to others.
+/// Repeats a round of requests until it succeeds, or until this daemon no longer
+/// uses the store.
 async fn run_until_answered(shared: &Shared, budget: &mut Budget, round: Round) {
     while shared.store_role.borrow().uses_store() {
         if !budget.try_take(Instant::now()) {
-            tokio::time::sleep(BUDGET_POLL).await;
+            tokio::time::sleep(BUDGET_POLL_INTERVAL).await;
             continue;
         }
         if round.run(shared).await {
@@ -119,9 +119,9 @@
     }
 }
 
-/// Removes the row of a daemon that leaves the store to others for good.
+/// Removes the row, unless this daemon soon uses the store again.
 async fn remove_row_later(shared: &Shared) {
-    if tokio::time::timeout(ROW_LINGER, until_using_store(shared))
+    if tokio::time::timeout(ROW_LINGER_TIME, until_using_store(shared))
         .await
         .is_err()
     {
@@ -135,7 +135,7 @@
         return;
     };
     if let Err(e) = shared.platform.delete(&row_key(shared), revision).await {
-        spdlog::warn!("own row not removed", kv: { cause = e.to_string().as_str() });
+        spdlog::warn!("cannot remove own member row", kv: { cause = e.to_string().as_str() });
     }
 }
 
@@ -149,13 +149,13 @@
             true
         }
         Err(e) => {
-            spdlog::warn!("members not read", kv: { cause = e.to_string().as_str() });
+            spdlog::warn!("cannot read member rows", kv: { cause = e.to_string().as_str() });
             false
         }
     }
 }
 
-/// Writes the row, unless it stands; returns whether it does.
+/// Writes the row unless it was written before; returns whether it is in the store.
 async fn write_row(shared: &Shared, own: &Member) -> bool {
     if shared.member_row.lock().is_some() {
         return true;
@@ -164,7 +164,7 @@
     let content: bytes::Bytes = serde_json::to_vec(own).unwrap_or_default().into();
     let table = shared.platform.as_ref();
     let mut condition = Condition::Absent;
-    // A row that an earlier run at this address left is written over.
+    // A row left by an earlier run at this address is overwritten.
     for _ in 0..2 {
         match settle(table, &key, condition, content.clone()).await {
             Settled::Written(revision) => {
@@ -187,7 +187,7 @@
         for row in rows {
             match serde_json::from_slice::<Member>(&row.content) {
                 Ok(member) => changed |= view.merge(now, member),
-                Err(e) => spdlog::warn!("row of a member not understood", kv: {
+                Err(e) => spdlog::warn!("invalid member row", kv: {
                     key = &*row.key, cause = e.to_string().as_str()
                 }),
             }
@@ -198,8 +198,8 @@
     }
 }
 
-/// Removes the rows of daemons that are gone. The first daemon of a data centre
-/// does, for all.
+/// Removes the rows of daemons that are gone. Only the first running daemon of a
+/// data centre does so.
 async fn remove_stale(shared: &Shared, rows: &[Row]) {
     let stale: Vec<(Box<str>, Revision)> = {
         let view = shared.view.lock();
@@ -212,15 +212,15 @@
     };
     for (key, revision) in stale {
         if let Err(e) = shared.platform.delete(&key, revision).await {
-            // Whoever reads the rows next tries again.
-            spdlog::debug!("row of a member not removed", kv: {
+            // The next reader of the rows tries again.
+            spdlog::debug!("cannot remove stale member row", kv: {
                 key = &*key, cause = e.to_string().as_str()
             });
         }
     }
 }
 
-/// Tells whether a row is of this data centre and its daemon is known to be gone.
+/// Returns whether a row is of this data centre and its daemon is known to be gone.
 fn is_stale(view: &View, row: &Row) -> bool {
     let Ok(member) = serde_json::from_slice::<Member>(&row.content) else {
         return false;
--- a/src/task/mod.rs
+++ b/src/task/mod.rs
@@ -1,5 +1,5 @@
-//! What a daemon does besides calls: news, configuration, home rows, credit of
-//! workspaces, stopping.
+//! Background tasks of a daemon: gossip, configuration, rows in the platform's
+//! store, credit of workspaces, and the planned stop.
 
 mod follow;
 mod gossip;
--- a/src/task/ownership.rs
+++ b/src/task/ownership.rs
@@ -1,4 +1,4 @@
-//! Extension of the home row of the own service.
+//! Extension of the ownership row of this daemon's service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::store::{Condition, Settled, settle};
 use crate::tables::{Shared, StoredOwnership, mint_now};
 
-/// How often the row is looked at.
+/// How often the row is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests a second and at once that one daemon may make for its row.
+/// Requests for the row by one daemon, per second and per burst.
 const REQUESTS_PER_S: f64 = 1.0;
 const REQUEST_BURST: f64 = 4.0;
-/// Looks by which one instance after the other waits before it steps in.
+/// Checks that an instance waits for each instance that ranks before it.
 const CHECKS_PER_RANK: usize = 4;
 
-/// Keeps the home row of the own service extended, for ever.
+/// Keeps the ownership row of this daemon's service extended, forever.
 ///
-/// All instances of the service could do it; each waits a little longer than
-/// the one before it, so that usually the first one alone does.
+/// Any instance of the service may extend it. Each waits a little longer than the
+/// one that ranks before it, so that usually only the first one does.
 pub async fn keep_ownership(shared: Arc<Shared>) {
     let mut budget = Budget::new(Instant::now(), REQUESTS_PER_S, REQUEST_BURST);
     let mut checks_due = 0;
@@ -80,12 +80,12 @@
     plan_ownership(row, mint_now(), live, horizon)
 }
 
-/// Returns the name of the home row of a service.
+/// Returns the key of the ownership row of a service.
 pub(super) fn row_key(service: &ServiceName) -> String {
     format!("home/{service}")
 }
 
-/// Writes the next state of the row; `None` if the platform does not answer.
+/// Writes the next state of the row; `None` if the platform doesn't answer.
 async fn extend(shared: &Shared, live: &[Instance], once: Once) -> Option<()> {
     let service = &shared.config.service;
     let known = shared.ownership.get(service);
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads the home row of a service from the platform; returns whether the
+/// Reads the ownership row of a service from the platform; returns whether the
 /// platform answered.
 pub async fn read_ownership(shared: &Shared, service: &ServiceName) -> bool {
     match shared.platform.read(&row_key(service)).await {
--- a/src/task/poll.rs
+++ b/src/task/poll.rs
@@ -1,4 +1,4 @@
-//! Reading of the configuration from the platform.
+//! Polling of the configuration from the platform.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,9 +18,9 @@
 /// The row that names the version in force.
 pub const CURRENT_ROW: &str = "config/current";
 
-/// How often a poller reads the row.
+/// How often a delegate reads the row.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// Reads a second and at once that one daemon may make.
+/// Reads by one daemon, per second and per burst.
 const READS_PER_S: f64 = 2.0;
 const READ_BURST: f64 = 8.0;
 
@@ -29,14 +29,14 @@
 pub struct CurrentRow {
     /// The version.
     pub version: Version,
-    /// The hash under which its manifest lies in the object store.
+    /// The hash of its manifest in the object store.
     pub manifest: Hash,
     /// The change that made it.
     pub change: Box<str>,
 }
 
-/// Reads the row now and then, for ever: always if this daemon has no
-/// configuration, else only if it is one of the few pollers of its data centre.
+/// Reads the row at regular intervals, forever, while this daemon has no
+/// configuration or is a delegate of its data centre.
 pub async fn poll_configuration(shared: Arc<Shared>, guard: Arc<Guard>) {
     let mut budget = Budget::new(Instant::now(), READS_PER_S, READ_BURST);
     let mut seen = Version::NONE;
@@ -64,10 +64,10 @@
 
 /// Waits for the next read, or until another version is in force.
 async fn wait_for_version(shared: &Shared, seen: Version) {
-    const VERSION_CHECK: Duration = Duration::from_millis(50);
+    const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
     let end = Instant::now() + POLL_INTERVAL;
     while Instant::now() < end && shared.current.version() == seen {
-        tokio::time::sleep(VERSION_CHECK).await;
+        tokio::time::sleep(VERSION_CHECK_INTERVAL).await;
     }
 }
 
@@ -118,7 +118,9 @@
     let content =
         found.ok_or_else(|| Error::remote(format!("object {hash} is not in the store")))?;
     if Hash::of(&content) != *hash {
-        return Err(Error::remote(format!("object {hash} is damaged")));
+        return Err(Error::remote(format!(
+            "object {hash} does not match its hash"
+        )));
     }
     Ok(content)
 }
--- a/src/task/rates.rs
+++ b/src/task/rates.rs
@@ -1,4 +1,4 @@
-//! Telling coordinators how many requests of their workspaces arrive here.
+//! Queries for credit and reports of demand to the coordinators of workspaces.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::policy::rate::CreditQuery;
 use crate::tables::{Shared, WorkspaceCredit};
 
-/// How often it is looked for what to tell. A coordinator that hears nothing
-/// for half a second longer than it should takes the daemon for cut off.
+/// How often due reports are looked for. A coordinator counts a daemon as cut off
+/// when a report is half a second late.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Asks the coordinator of a workspace for credit, or tells it of the demand,
-/// and takes its answer.
+/// Queries the coordinator of a workspace for credit, or reports demand to it, and
+/// applies its grant.
 pub async fn query_credit(
     shared: Arc<Shared>,
     pool: Arc<Pool>,
@@ -31,8 +31,8 @@
     credit.end_query();
 }
 
-/// Tells the coordinators of all workspaces whose requests arrive here, for
-/// ever; a daemon without any sleeps.
+/// Reports demand to the coordinators of all workspaces with requests here,
+/// forever. Without such workspaces the task sleeps.
 pub async fn report_demand(shared: Arc<Shared>, pool: Arc<Pool>) {
     loop {
         if !shared.rates.is_active() {
--- a/src/task/stop.rs
+++ b/src/task/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: tell, drain, hand over, end.
+//! The planned stop of a daemon: announce it, drain, hand over, end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,44 +17,44 @@
 use crate::store::{Condition, Settled, settle};
 use crate::tables::Shared;
 
-/// How long callers have to learn that this daemon leaves before its entry
+/// How long callers have to learn that this daemon is leaving before its entry
 /// refuses new calls.
 const REFUSAL_DELAY: Duration = Duration::from_millis(1500);
-/// How long callers whose platform asks for readiness each second need until
-/// they have all gone: two questions in a row, and the answers under way.
+/// How long until all callers have moved away, where their platform probes
+/// readiness each second: two probes in a row, and the answers in flight.
 const READINESS_DELAY: Duration = Duration::from_millis(2300);
-/// How often calls in flight are counted.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// How long the platform may take for the last writes.
+/// How often calls in flight are counted while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the platform may take for the writes at the end.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The same where a platform hosts the daemon: a hundred times what its store
-/// usually takes.
+/// The same for a hosted daemon: a hundred times the usual latency of the
+/// platform's store.
 const HOSTED_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Part of the grace in which calls may end where a platform hosts the daemon:
-/// it ends the process by force at the end of the grace, and excuses calls that
-/// are cut in its last sixth. The rest is for the last words.
-const CALLS_SHARE: f64 = 5.0 / 6.0;
-/// How long neighbours may take to hear the news of a stop; others hear it by
-/// the regular exchange.
+/// Share of the grace in which calls of a hosted daemon may end. The platform
+/// kills the process at the end of the grace, and excuses calls that are cut in
+/// its last sixth, which is left for the final writes and updates.
+const CALLS_GRACE_SHARE: f64 = 5.0 / 6.0;
+/// How long neighbours may take to acknowledge a stop; others learn of it by
+/// gossip.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The parts of a daemon that a stop concerns.
+/// The parts of a daemon that take part in its stop.
 pub struct StopParts {
-    /// The shared tables.
+    /// The shared state.
     pub shared: Arc<Shared>,
     /// The entry.
     pub entry: Arc<Entry>,
     /// The guard.
     pub guard: Arc<Guard>,
-    /// Connections to others.
+    /// The connections to other daemons.
     pub pool: Arc<Pool>,
 }
 
 /// Stops a daemon as planned; returns whether no call was cut.
 ///
-/// It ends when all calls have ended, or after the grace of the settings, or
-/// when `hurry` is told. A hosted daemon ends before the grace is over.
+/// It ends when all calls have ended, after the grace in the settings, or when
+/// `hurry` completes. A hosted daemon ends before the grace is over.
 pub async fn stop(parts: &StopParts, hurry: impl Future<Output = ()>) -> bool {
     let StopParts {
         shared,
@@ -95,16 +95,17 @@
     drained
 }
 
-/// Returns how long calls under way may take to end.
+/// Returns how long calls in flight may take to end.
 fn drain_time(shared: &Shared) -> Duration {
     let grace = shared.config.grace.get();
     match shared.config.hosting {
-        Some(_) => grace.mul_f64(CALLS_SHARE),
+        Some(_) => grace.mul_f64(CALLS_GRACE_SHARE),
         None => grace,
     }
 }
 
-/// Hands over what this daemon owns and takes leave, after its calls ended.
+/// Hands over once calls to another instance and leaves the estate, after all
+/// calls have ended.
 async fn hand_over_and_leave(parts: &StopParts) {
     let StopParts {
         shared,
@@ -114,17 +115,17 @@
     } = parts;
     guard.once().stop();
     let last = tokio::time::timeout(WRITE_TIMEOUT, hand_over_ownership(shared, guard, pool)).await;
-    spdlog::info!("ledger", kv: { handed_over = last.unwrap_or(false) });
+    spdlog::info!("ledger hand-over ended", kv: { handed_over = last.unwrap_or(false) });
     update_own_state(shared, MemberState::Left);
     let removed = remove_in_time(shared, WRITE_TIMEOUT);
     tokio::join!(removed, notify_neighbours(shared, pool));
 }
 
-/// Removes the own row, unless the platform takes longer than `longest`.
+/// Removes the own member row, unless the platform takes longer than `longest`.
 async fn remove_in_time(shared: &Shared, longest: Duration) {
     let removed = tokio::time::timeout(longest, remove_row(shared));
     if removed.await.is_err() {
-        spdlog::warn!("own row not removed: no answer in time");
+        spdlog::warn!("cannot remove own member row: the platform timed out");
     }
 }
 
@@ -135,23 +136,26 @@
         if entry.in_flight() == 0 && guarded == 0 && shared.parent_calls.is_empty() {
             return true;
         }
-        tokio::time::sleep(DRAIN_POLL).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     false
 }
 
 async fn notify_neighbours(shared: &Shared, pool: &Pool) {
     let neighbours = neighbours(&shared.view.lock());
-    let told = neighbours
+    let exchanges = neighbours
         .all()
         .map(|instance| exchange(shared, pool, instance.address, SyncPosition::default()));
-    let told = futures_util::future::join_all(told);
-    if tokio::time::timeout(NEIGHBOUR_TIMEOUT, told).await.is_err() {
-        spdlog::debug!("a neighbour did not hear of the stop in time");
+    let exchanges = futures_util::future::join_all(exchanges);
+    if tokio::time::timeout(NEIGHBOUR_TIMEOUT, exchanges)
+        .await
+        .is_err()
+    {
+        spdlog::debug!("a neighbour did not acknowledge the stop in time");
     }
 }
 
-/// Hands the ledger to another instance of the service, then gives it the
+/// Hands the ledger to another instance of the service, then transfers to it the
 /// mint times that this instance owns.
 async fn hand_over_ownership(shared: &Shared, guard: &Guard, pool: &Pool) -> bool {
     let (entries, forgotten) = guard.once().export();
--- a/src/task/store_role.rs
+++ b/src/task/store_role.rs
@@ -1,4 +1,4 @@
-//! Keeping up for whom this daemon uses the platform's store.
+//! Updates of the daemon's role at the platform's store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::policy::member::{StoreRole, is_delegate};
 use crate::tables::Shared;
 
-/// How often the duty is decided anew.
+/// How often the role is decided.
 const DECISION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Decides on the daemon's duty now and then, for ever.
+/// Decides on the daemon's store role at regular intervals, forever.
 pub async fn keep_store_role(shared: Arc<Shared>) {
     loop {
         decide(&shared);
@@ -31,26 +31,26 @@
         changed
     });
     if changed {
-        spdlog::info!("duty at the store", kv: { duty = role.as_str(), first, members });
+        spdlog::info!("store role changed", kv: { duty = role.as_str(), first, members });
     }
 }
 
-/// Waits until this daemon uses the store, and returns for whom.
+/// Waits until this daemon uses the store, and returns its role.
 pub(super) async fn until_using_store(shared: &Shared) -> StoreRole {
-    wait_for(shared, StoreRole::uses_store).await
+    wait_for_role(shared, StoreRole::uses_store).await
 }
 
-/// Waits until this daemon leaves the store to others.
+/// Waits until this daemon no longer uses the store.
 pub(super) async fn until_not_using_store(shared: &Shared) {
-    wait_for(shared, |role| !role.uses_store()).await;
+    wait_for_role(shared, |role| !role.uses_store()).await;
 }
 
-async fn wait_for(shared: &Shared, is: impl Fn(StoreRole) -> bool) -> StoreRole {
+async fn wait_for_role(shared: &Shared, accepts: impl Fn(StoreRole) -> bool) -> StoreRole {
     let mut role = shared.store_role.subscribe();
-    let found = role.wait_for(|role| is(*role)).await.map(|role| *role);
+    let found = role.wait_for(|role| accepts(*role)).await.map(|role| *role);
     match found {
         Ok(role) => role,
-        // The daemon ends.
+        // The sender is gone: the daemon is ending.
         Err(_) => std::future::pending().await,
     }
 }
--- a/src/task/suspects.rs
+++ b/src/task/suspects.rs
@@ -1,10 +1,9 @@
-//! Held requests in the platform's table service.
+//! Rows of quarantined requests in the platform's store.
 //!
-//! Daemons tell each other of requests that crash servers and keep nothing on a
-//! disk. A row for each that is held lets an estate whose daemons were all lost
-//! at once know it again, where it would cost three servers more to learn it.
-//! That takes one read of each daemon that uses the store for others, and at most
-//! three writes a request.
+//! Daemons share suspects by gossip and keep nothing on disk. If all of them are
+//! lost at once, these rows let the estate recognise a quarantined request, which
+//! it would otherwise learn only by three more server crashes. That takes one read
+//! by each daemon that uses the store, and at most three writes a request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,14 +19,14 @@
 use crate::store::{Condition, Row, Settled, settle};
 use crate::tables::{Shared, unix_ms};
 
-/// What the names of the rows begin with; what is asked for follows.
+/// Prefix of the keys of the rows; the digest of the request follows.
 const KEY_PREFIX: &str = "suspect/";
-/// Pause between two looks whether the platform may be asked again.
-const BUDGET_POLL: Duration = Duration::from_millis(200);
-/// Requests a second and at once that one daemon may make.
+/// How long to wait before trying the budget again.
+const BUDGET_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Requests by one daemon, per second and per burst.
 const REQUESTS_PER_S: f64 = 1.0;
 const REQUEST_BURST: f64 = 4.0;
-/// Most that failures in a row make the next request wait.
+/// Maximum delay of the next request after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The content of a row.
@@ -35,7 +34,7 @@
 struct Content {
     #[serde(rename = "strikes")]
     crashes: Vec<CrashRow>,
-    /// When the last crash was, by the system clock.
+    /// The time of the last crash by the system clock.
     unix_ms: u64,
 }
 
@@ -73,9 +72,9 @@
     }
 }
 
-/// Reads the rows of held requests once, when this daemon begins to use the store
-/// for others or itself, and writes those that are held for crashes of this VM's
-/// server, for ever; again when the store has gone back.
+/// Writes rows of the requests quarantined for crashes of this VM's server,
+/// forever, and again after the store was restored from a copy. Reads the rows of
+/// all quarantined requests once, when this daemon begins to use the store.
 pub async fn keep_suspect_rows(shared: Arc<Shared>) {
     let mut budget =
         Budget::with_max_backoff(Instant::now(), REQUESTS_PER_S, REQUEST_BURST, MAX_BACKOFF);
@@ -92,7 +91,7 @@
         }
         if !read && shared.store_role.borrow().uses_store() {
             if !budget.try_take(Instant::now()) {
-                tokio::time::sleep(BUDGET_POLL).await;
+                tokio::time::sleep(BUDGET_POLL_INTERVAL).await;
                 continue;
             }
             read = read_rows(&shared).await;
@@ -110,13 +109,13 @@
     }
 }
 
-/// Reads all rows, and removes those whose time is over; returns whether the
-/// platform answered.
+/// Reads all rows and removes the expired ones; returns whether the platform
+/// answered.
 async fn read_rows(shared: &Shared) -> bool {
     let rows = match shared.platform.scan(KEY_PREFIX).await {
         Ok(rows) => rows,
         Err(e) => {
-            spdlog::warn!("held requests not read", kv: { cause = e.to_string().as_str() });
+            spdlog::warn!("cannot read rows of quarantined requests", kv: { cause = e.to_string().as_str() });
             return false;
         }
     };
@@ -126,7 +125,7 @@
         match suspect_of(row, now) {
             Some(suspect) if suspect.is_expired(now) => remove(shared, row).await,
             Some(suspect) => known.push(suspect),
-            None => spdlog::warn!("row of a held request not understood", kv: { key = &*row.key }),
+            None => spdlog::warn!("invalid row of a quarantined request", kv: { key = &*row.key }),
         }
     }
     shared.merge_suspects(&known);
@@ -141,18 +140,18 @@
 
 async fn remove(shared: &Shared, row: &Row) {
     if let Err(e) = shared.platform.delete(&row.key, row.revision).await {
-        // Whoever starts next tries again.
-        spdlog::debug!("old row of a held request not removed", kv: {
+        // The next daemon that reads the rows tries again.
+        spdlog::debug!("cannot remove expired row of a quarantined request", kv: {
             key = &*row.key, cause = e.to_string().as_str()
         });
     }
 }
 
-/// Writes a row for each request that is held for a crash of this VM's server.
+/// Writes the row of each queued request.
 async fn write_rows(shared: &Shared, budget: &mut Budget) {
     while let Some(suspect) = shared.suspects.take_unsaved() {
         while !budget.try_take(Instant::now()) {
-            tokio::time::sleep(BUDGET_POLL).await;
+            tokio::time::sleep(BUDGET_POLL_INTERVAL).await;
         }
         let written = write_row(shared, &suspect).await;
         record_outcome(budget, written);
@@ -162,8 +161,8 @@
     }
 }
 
-/// Writes one row; returns whether it stands. One that another daemon has
-/// written is enough.
+/// Writes one row; returns whether it is in the store. A row written by another
+/// daemon is enough.
 async fn write_row(shared: &Shared, suspect: &Suspect) -> bool {
     let key = format!("{KEY_PREFIX}{:032x}", suspect.digest);
     let content = Content::new(suspect, Instant::now());
@@ -175,6 +174,6 @@
         Settled::NotSent(_) => ("not sent", false),
         Settled::Unsettled(_) => ("not known", false),
     };
-    spdlog::info!("row of a held request", kv: { key = key.as_str(), outcome });
+    spdlog::info!("row of a quarantined request", kv: { key = key.as_str(), outcome });
     stands
 }
--- a/src/task/targets.rs
+++ b/src/task/targets.rs
@@ -1,16 +1,16 @@
-//! Filling of the tables of targets after members changed.
+//! Rebuilds of the tables of targets after members changed.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::tables::Shared;
 
-/// Shortest time between two fillings. A change that comes alone is taken at
-/// once; a call that meets a server which is gone meanwhile is refused by its
-/// guard, or finds its port closed, and goes to another.
+/// Minimum time between two rebuilds. A single change is applied at once. Until
+/// the next rebuild, a call to a server that is gone is refused by its guard or
+/// finds the port closed, and goes to another target.
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Fills the tables of targets anew whenever members changed, for ever.
+/// Rebuilds the tables of targets whenever members change, forever.
 pub async fn refresh_targets(shared: Arc<Shared>) {
     loop {
         shared.refresh_notify.notified().await;
