--- a/tests/keys_in_output.rs
+++ b/tests/keys_in_output.rs
@@ -1,5 +1,5 @@
-//! A key never leaves the place where it is read: a daemon as a process writes
-//! none, whatever it is asked and whatever it reads.
+//! A daemon process must not write API keys to its output, neither those in
+//! requests nor those in valid or invalid documents.
 
 #![allow(missing_docs)]
 
@@ -17,7 +17,7 @@
 const KEYS: [&str; 4] = ["qk-held-1", "qk-held-2", "qk-unknown", "qk-misplaced"];
 
 #[tokio::test]
-async fn key_stands_in_no_line_of_a_daemon() {
+async fn api_key_is_in_no_output_line() {
     let (address, rows, _listening) = store().await;
     let workspaces = r#"{"north":{"apiKeys":["qk-held-1","qk-held-2"],"ratePerS":1,"burst":1}}"#;
     rows.put("op", "config", &keyed_document(7, "svc", workspaces));
@@ -61,7 +61,7 @@
             ask(key).await.expect("an answer");
         }
     }
-    // Documents that are wrong where a key stands.
+    // Documents that are invalid where a key stands.
     for wrong in [
         r#"{"north":{"apiKeys":"qk-misplaced"}}"#,
         r#"{"north":{"apiKeys":["x"],"ratePerS":"qk-misplaced"}}"#,
@@ -70,7 +70,7 @@
         rows.put("op", "config", &keyed_document(8, "svc", wrong));
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     }
-    eventually("a word on the document", || async {
+    eventually("an error about the document", || async {
         let text = std::fs::read_to_string(&output).ok()?;
         text.contains("configuration not understood").then_some(())
     })
@@ -81,6 +81,6 @@
     assert!(text.contains("unknown-key"), "{text}");
     for key in KEYS {
         let found = text.lines().find(|line| line.contains(key));
-        assert_eq!(found, None, "a line holds a key");
+        assert_eq!(found, None, "a line contains a key");
     }
 }
--- a/tests/store_goes_back.rs
+++ b/tests/store_goes_back.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from a copy some seconds old: versions go back and
-//! are given out again, and what was written since the copy is gone.
+//! The store is restored from a copy some seconds old: the writes since the copy
+//! are lost, and their revisions are given out again.
 
 #![allow(missing_docs)]
 
@@ -21,26 +21,26 @@
     .await;
 }
 
-/// Routes of the version in force stay, and versions that come after the store
-/// went back are heard of although their revisions were given out before.
+/// The version in force stays after a restore, and later versions are applied
+/// although their revisions were given out before.
 #[rstest]
-#[case::seen_to_be_away(true)]
+#[case::after_an_outage(true)]
 #[case::at_once(false)]
 #[tokio::test]
-async fn configuration_stays_and_goes_on(#[case] away: bool) {
+async fn configuration_survives_restore_and_advances(#[case] outage: bool) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
     rows.copy();
-    // Other writers use up versions of the store that are given out again.
+    // Other writers use up revisions, which are given out again after the restore.
     for place in 0..8 {
         rows.put("op", &format!("other-{place}"), "x");
     }
     rows.put("op", "config", &document(9, "svc", 2.0));
     in_force(&vm, 9).await;
-    if away {
+    if outage {
         rows.set(Trouble::Busy);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -50,7 +50,7 @@
     let answer = vm.ask(Method::GET, "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(vm.daemon.shared().current.version().get(), 9);
-    // The operator writes again what was lost, then goes on.
+    // The operator writes the lost version again, then a later one.
     rows.put("op", "config", &document(9, "svc", 2.0));
     rows.put("op", "config", &document(11, "svc", 2.0));
     let sent = std::time::Instant::now();
@@ -62,11 +62,11 @@
     );
 }
 
-/// So many versions are given out again, before a daemon asks, that its place
-/// in the feed lies within them: the store has no reason to say that it does
-/// not know the place, and the change that matters lies before it.
+/// So many revisions are given out again, before a daemon queries the feed, that
+/// its position is valid again. The store then can't report the position as
+/// unknown, and the change of the configuration lies before it.
 #[tokio::test]
-async fn change_before_the_place_in_the_feed_is_heard_of() {
+async fn change_before_the_feed_position_is_found() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -92,7 +92,7 @@
     );
 }
 
-/// The row by which others find a daemon is written again.
+/// A member row that a restore removed is written again.
 #[tokio::test]
 async fn member_row_is_written_again() {
     let (address, rows, _listening) = store().await;
@@ -107,7 +107,7 @@
     .await;
     rows.go_back();
     assert!(rows.names("member").is_empty());
-    // The era is seen with the next answer of the store.
+    // The daemon sees the new era in the next answer of the store.
     rows.put("op", "other", "x");
     let gone = std::time::Instant::now();
     eventually("the row", || async {
@@ -121,9 +121,9 @@
     );
 }
 
-/// A daemon that begins after the store went back learns nothing wrong of it.
+/// A daemon follows the store through two restores.
 #[tokio::test]
-async fn store_that_goes_back_twice_is_followed() {
+async fn store_restored_twice_is_followed() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     rows.copy();
--- a/tests/version_news.rs
+++ b/tests/version_news.rs
@@ -1,10 +1,10 @@
-//! What a change of the configuration costs in news of members.
+//! A change of the configuration must not cause updates of members.
 //!
-//! The load answered here: an estate of hundreds of VMs whose configuration
-//! changes every few seconds. Told by each member to all others, a version costs
-//! an entry of some 90 bytes a member and neighbour, which grows with the square
-//! of the estate. The grounds for the figures: 5,300 VMs, 5,600 changes a day and
-//! 3 KB a second for control of one daemon.
+//! The load is an estate of hundreds of VMs whose configuration changes every few
+//! seconds. If each member advertised its version to all others, a version would
+//! cost an entry of some 90 bytes for each member and neighbour, which grows with
+//! the square of the estate. The figures behind this: 5,300 VMs, 5,600 changes a
+//! day, and 3 KB a second of control traffic per daemon.
 
 #![allow(missing_docs)]
 
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn change_of_configuration_is_no_news_of_members() {
+async fn configuration_change_causes_no_member_updates() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
     let (one, other) = (vm("svc", address).await, vm("svc", address).await);
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn status_asks_each_member_which_version_it_runs() {
+async fn status_queries_the_version_of_each_member() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 5.0));
     let (one, other) = (vm("svc", address).await, vm("svc", address).await);
@@ -63,14 +63,14 @@
     rows.put("op", "config", &document(9, "svc", 5.0));
     wait_version(&[&one, &other], 9).await;
     eventually("all versions", || async {
-        let told = status(&one).await;
-        let of = |m: &bramleymount::operator::MemberLine| m.version == Some(Version::new(9));
-        (told.members.len() == 2 && told.members.iter().all(of)).then_some(())
+        let answer = status(&one).await;
+        let is_new = |m: &bramleymount::operator::MemberLine| m.version == Some(Version::new(9));
+        (answer.members.len() == 2 && answer.members.iter().all(is_new)).then_some(())
     })
     .await;
     let stopped = other.daemon.shared().instance;
     assert!(other.daemon.stop(std::future::pending()).await);
-    let told = status(&one).await;
-    let line = told.members.iter().find(|line| line.instance == stopped);
+    let answer = status(&one).await;
+    let line = answer.members.iter().find(|line| line.instance == stopped);
     assert_eq!(line.expect("a line").version, None);
 }
