--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -20,7 +20,7 @@
 use crate::guard::Guard;
 use crate::metrics::Group;
 use crate::model::CallId;
-use crate::peer::{Pool, version_of};
+use crate::peer::{Pool, query_version};
 use crate::policy::member::{Member, MemberState};
 use crate::tables::Shared;
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
@@ -103,7 +103,7 @@
         let version = match member.instance {
             own if own == self.shared.instance => Some(self.shared.current.version()),
             _ if member.state >= MemberState::Silent => None,
-            other => version_of(&self.shared, &self.pool, other).await,
+            other => query_version(&self.shared, &self.pool, other).await,
         };
         let table = self.shared.targets.table(&member.service);
         let pace = table.lock().latency_ratio(Instant::now(), member.instance);
@@ -211,7 +211,7 @@
             Ok(service) => service,
             Err(e) => return answer_text(StatusCode::BAD_REQUEST, format!("{e}")),
         };
-        match self.entry.issue(&service) {
+        match self.entry.issue_ticket(&service) {
             Some(key) => {
                 let key = key.to_string().into();
                 answer_json(StatusCode::OK, &TicketAnswer { key })
--- a/src/policy/admission/downstream.rs
+++ b/src/policy/admission/downstream.rs
@@ -1,4 +1,4 @@
-//! The level that services further down a chain impose on this one.
+//! The levels that downstream services impose on this one.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,47 @@
 
 use super::LastLevel;
 use super::class_shares::ClassShares;
-use crate::model::{ClassRank, Demand, Level, RankSet, ServiceName};
+use crate::model::{ClassRank, DemandedLevels, Level, RankSet, ServiceName};
 
-/// What a call met at a service that it called onwards.
+/// The outcome of an onward call to another service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnwardOutcome {
     /// The service.
     pub service: ServiceName,
-    /// What it demands now.
-    pub demand: Demand,
-    /// Whether it refused.
+    /// The levels that the service demands at present.
+    pub demand: DemandedLevels,
+    /// Whether the service refused the call.
     pub refused: bool,
-    /// Whether the call ended badly, by refusal or otherwise.
+    /// Whether the call failed, by refusal or otherwise.
     pub failed: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceLevels {
+    /// The level of the service itself.
     level: LastLevel,
+    /// The level of services downstream of it, and the classes that it applies to.
     downstream: LastLevel,
     classes: RankSet,
+    /// Classes whose last refused call failed.
     needed_by: RankSet,
+    /// The share of each class's calls that use the service.
     callers: ClassShares,
 }
 
-/// Learns below which level calls would fail further down.
+/// Tracks the level below which calls would fail downstream.
 ///
-/// Each answer to an onward call tells what the service called demands now.
-/// It counts for a class only if many of its calls call the service, once one
-/// of them has failed since the service refused, and until one was answered all
-/// the same; so work that does not depend on the refusing service goes on.
+/// Each answer to an onward call carries the levels that the called service demands.
+/// They apply to a class only if many of its calls use the service, and only since a
+/// refusal by the service made one of them fail, until one is answered in spite of a
+/// refusal. Calls that don't depend on the service are thus not refused.
 #[derive(Debug, Default)]
 pub struct DownstreamLevels {
     services: BTreeMap<ServiceName, ServiceLevels>,
 }
 
 impl DownstreamLevels {
-    /// Takes note of what a call of `rank` met, and how it ended.
+    /// Records the onward outcomes of a call of `rank`, and whether it was answered.
     pub fn record(
         &mut self,
         now: Instant,
@@ -74,7 +78,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the highest level that any service demands, and of whom.
+    /// Returns the highest level that any service demands, and of which classes.
     pub fn highest(&self, now: Instant) -> (Level, RankSet) {
         self.services
             .values()
@@ -87,8 +91,8 @@
 impl ServiceLevels {
     fn record(&mut self, now: Instant, rank: ClassRank, outcome: &OnwardOutcome, answered: bool) {
         self.level.record(now, outcome.demand.level);
-        self.downstream.record(now, outcome.demand.below);
-        self.classes = outcome.demand.classes;
+        self.downstream.record(now, outcome.demand.downstream);
+        self.classes = outcome.demand.downstream_classes;
         if outcome.refused {
             self.needed_by.set(rank, !answered);
         }
@@ -96,7 +100,7 @@
 
     fn level(&self, now: Instant, rank: ClassRank, protected: bool) -> Level {
         if !self.dependents().contains(rank) {
-            return Level::OPEN;
+            return Level::ADMIT_ALL;
         }
         let own = self.level.level(now, protected);
         if self.classes.contains(rank) {
@@ -106,9 +110,9 @@
         }
     }
 
-    /// Returns the classes that cannot do without the service.
+    /// Returns the classes that depend on the service.
     fn dependents(&self) -> RankSet {
-        self.needed_by.both(self.callers.frequent())
+        self.needed_by.intersection(self.callers.frequent())
     }
 
     fn highest(&self, now: Instant) -> (Level, RankSet) {
@@ -116,7 +120,7 @@
         let own = self.level.level(now, false);
         let downstream = self.downstream.level(now, false);
         if downstream > own {
-            (downstream, dependents.both(self.classes))
+            (downstream, dependents.intersection(self.classes))
         } else {
             (own, dependents)
         }
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -146,7 +146,7 @@
     /// Returns the suspect for a request, if there is one.
     pub fn get(&self, request: Fingerprint) -> Option<Suspect> {
         let known = self.known.lock();
-        known.get(Instant::now(), request.asked).cloned()
+        known.get(Instant::now(), request.digest).cloned()
     }
 
     /// Returns the suspects changed after `since`, and the count of changes.
@@ -177,7 +177,7 @@
         let before = known.restriction(now, request);
         let new = change(&mut known, now);
         let after = known.restriction(now, request);
-        let suspect = known.get(now, request.asked);
+        let suspect = known.get(now, request.digest);
         let crashes = suspect.map_or(0, Suspect::crash_count);
         if new {
             self.queue_if_own(suspect);
--- a/src/task/gossip.rs
+++ b/src/task/gossip.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 use tokio::time::Instant;
 
-use crate::peer::{ExchangeError, Exchanged, Pool, exchange};
+use crate::peer::{ExchangeError, ExchangeOutcome, Pool, exchange};
 use crate::policy::member::{Link, LinkEvent, neighbours};
 use crate::tables::Shared;
 
@@ -59,7 +59,7 @@
 }
 
 /// The result of an exchange with the daemon at an address.
-type EndedExchange = (SocketAddr, Result<Exchanged, ExchangeError>);
+type EndedExchange = (SocketAddr, Result<ExchangeOutcome, ExchangeError>);
 
 /// The links to neighbours, and the exchanges in progress.
 #[derive(Default)]
@@ -106,9 +106,9 @@
         let now = Instant::now();
         match result {
             Ok(done) => {
-                link.record_answer(now, done.told, done.same);
+                link.record_answer(now, done.position, done.same_view);
                 // The update did not fit into one message.
-                if !done.same && done.told.sent < Some(shared.view.lock().change()) {
+                if !done.same_view && done.position.sent < Some(shared.view.lock().change()) {
                     shared.notify_gossip();
                 }
             }
--- a/src/task/rates.rs
+++ b/src/task/rates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::model::WorkspaceName;
-use crate::peer::{Pool, borrow};
+use crate::peer::{Pool, request_credit};
 use crate::policy::rate::CreditQuery;
 use crate::tables::{Shared, WorkspaceCredit};
 
@@ -21,7 +21,7 @@
     credit: Arc<WorkspaceCredit>,
     query: CreditQuery,
 ) {
-    match borrow(&shared, &pool, &name, query).await {
+    match request_credit(&shared, &pool, &name, query).await {
         Some(grant) => credit.apply_grant(grant),
         None => {
             shared.metrics.count("credit_unanswered");
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,9 +1,8 @@
-//! Choice of a backend server while a data centre is out of reach.
+//! Choice of a backend server while a data centre is unreachable.
 //!
-//! Load pattern: a data centre is cut off without a word, so that calls into
-//! it are never answered, while the servers that are left have more to do than
-//! they can. Figures: three targets of a service, one in the own data centre,
-//! as on the users' smaller site.
+//! One data centre silently drops all traffic, so calls into it are never
+//! answered, while the remaining servers are overloaded. The service has three
+//! targets, one of them in the own data centre, as on a small site.
 
 #![allow(missing_docs)]
 
@@ -11,7 +10,7 @@
 use std::time::Duration;
 
 use bramleymount::model::{
-    CentreName, ClassRank, Demand, GuardNews, Instance, Level, Percent, Slots, StartStamp,
+    CentreName, ClassRank, DemandedLevels, GuardStatus, Instance, Level, Percent, Slots, StartStamp,
 };
 use bramleymount::policy::route::{AttemptReport, CallNeeds, Pick, Split, Table, Target};
 use rand::SeedableRng;
@@ -66,16 +65,16 @@
         table.record_sent(instance(n));
         table.report(now, instance(n), AttemptReport::Unreachable);
     }
-    let full = GuardNews {
-        demand: Demand {
+    let full = GuardStatus {
+        demand: DemandedLevels {
             level: Level::from_raw(u32::MAX),
-            ..Demand::default()
+            ..DemandedLevels::default()
         },
-        ..GuardNews::default()
+        ..GuardStatus::default()
     };
     table.record_sent(instance(1));
     table.report(now, instance(1), AttemptReport::Responded(full));
-    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
+    let picked = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert!(matches!(picked, Pick::Refused(_)), "{picked:?}");
 }
 
@@ -87,9 +86,14 @@
         table.record_sent(instance(n));
         table.report(now, instance(n), AttemptReport::Unreachable);
     }
-    let picked = table.choose(now, needs(Level::OPEN), &mut rng);
+    let picked = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert!(matches!(picked, Pick::Target(_)), "{picked:?}");
-    let picked = table.choose_except(now, needs(Level::OPEN), &[1, 2, 3].map(instance), &mut rng);
+    let picked = table.choose_except(
+        now,
+        needs(Level::ADMIT_ALL),
+        &[1, 2, 3].map(instance),
+        &mut rng,
+    );
     assert_eq!(picked, Pick::NoTarget);
 }
 
@@ -100,14 +104,14 @@
     table.report(
         now,
         instance(2),
-        AttemptReport::Responded(GuardNews::default()),
+        AttemptReport::Responded(GuardStatus::default()),
     );
     assert!(table.has_recent_status(now, instance(2)));
     assert!(!table.has_recent_status(now + Duration::from_secs(1), instance(2)));
 }
 
-/// One of three servers fails every call at once while its health check is
-/// good, and so always has the least load. Its data centre is the entry's own.
+/// One of three servers, the only one in the own data centre, fails every call at
+/// once while its health check passes, so it always has the least load.
 #[test]
 fn choose_avoids_a_server_that_fails_all() {
     let mut table = table();
@@ -117,40 +121,40 @@
     for turn in 0..1000_u32 {
         // A thousand calls in five seconds.
         let now = start + Duration::from_millis(5) * turn;
-        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::ADMIT_ALL), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(1);
-        let news = GuardNews {
-            faults: Percent::new(if bad { 100 } else { 0 }),
+        let status = GuardStatus {
+            fault_share: Percent::new(if bad { 100 } else { 0 }),
             load: if bad { 0 } else { 26 },
-            ..GuardNews::default()
+            ..GuardStatus::default()
         };
-        table.report(now, target, AttemptReport::Responded(news));
+        table.report(now, target, AttemptReport::Responded(status));
         to_bad += u32::from(bad);
     }
     assert!((2..20).contains(&to_bad), "{to_bad} of 1000 calls");
 }
 
-/// All servers fail alike, so none is left out.
+/// All servers fail equally, so none is avoided.
 #[test]
 fn choose_keeps_servers_that_fail_equally() {
     let mut table = table();
     let now = Instant::now();
     let mut rng = StdRng::seed_from_u64(7);
     for n in 1..=3 {
-        let news = GuardNews {
-            faults: Percent::new(55),
-            ..GuardNews::default()
+        let status = GuardStatus {
+            fault_share: Percent::new(55),
+            ..GuardStatus::default()
         };
-        table.report(now, instance(n), AttemptReport::Responded(news));
+        table.report(now, instance(n), AttemptReport::Responded(status));
     }
-    let chosen = table.choose(now, needs(Level::OPEN), &mut rng);
+    let chosen = table.choose(now, needs(Level::ADMIT_ALL), &mut rng);
     assert_eq!(chosen, Pick::Target(instance(1)));
 }
 
-/// One of three servers refuses nearly half of its calls by itself, as the
-/// users' servers do while their health check is good.
+/// One of three servers refuses nearly half of its calls by itself while its
+/// health check passes.
 #[test]
 fn choose_keeps_most_calls_from_a_refusing_server() {
     let mut table = table();
@@ -158,15 +162,15 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut to_bad = 0;
     for turn in 0..600 {
-        let Pick::Target(target) = table.choose(now, needs(Level::OPEN), &mut rng) else {
+        let Pick::Target(target) = table.choose(now, needs(Level::ADMIT_ALL), &mut rng) else {
             panic!("no target");
         };
         let bad = target == instance(2);
-        let news = GuardNews::default();
+        let status = GuardStatus::default();
         let report = if bad && turn % 2 == 0 {
-            AttemptReport::Rejected(news)
+            AttemptReport::Rejected(status)
         } else {
-            AttemptReport::Responded(news)
+            AttemptReport::Responded(status)
         };
         table.report(now, target, report);
         to_bad += u32::from(bad && turn >= 300);
@@ -183,7 +187,7 @@
     let mut split = Split::new(weights, offset);
     let mut counts = vec![0_u32; weights.len()];
     for _ in 0..200 {
-        counts[split.next(weights).expect("a place")] += 1;
+        counts[split.next(weights).expect("an index")] += 1;
     }
     let sum: u32 = weights.iter().sum();
     for (count, weight) in counts.iter().zip(weights) {
