--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -75,7 +75,7 @@
         caller_time.slack = caller_time.slack.saturating_sub(waited);
         self.shared.metrics.count("caller_retries");
         let head = &mut accepted.head;
-        if accepted.front_options.boost && !head.single {
+        if accepted.front_options.boost && !head.single_call {
             head.root = boosted_root(head.root);
             head.priority = Priority::new(head.priority.rank(), head.depth, head.root);
         }
