--- a/src/model/fingerprint.rs
+++ b/src/model/fingerprint.rs
@@ -1,11 +1,11 @@
-//! What a request asks for, and who asks.
+//! Fingerprints of requests.
 
 use std::fmt;
 
 use http::Method;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// The parts of a request that all attempts at it have in common.
+/// The parts of a request that are the same in all its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'r> {
     /// The method.
@@ -18,22 +18,22 @@
     pub body: &'r [u8],
 }
 
-/// A digest of what a request asks for, and one of who asks.
+/// Digests of a request's content and of its caller.
 ///
-/// Two attempts at the same request have the same one, also if they come to
-/// different daemons under different ids. What is asked for has 128 bits, so
-/// that no two of the few thousand requests that are remembered at one time
-/// share a digest by chance; who asks only tells a few callers apart.
+/// All attempts at a request have the same fingerprint, even if they reach
+/// different daemons under different ids. The digest of the content has 128
+/// bits so that no two of the few thousand requests stored at one time collide;
+/// that of the caller only has to distinguish a few callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint {
-    /// What is asked for.
+    /// Digest of the request's content.
     pub digest: u128,
-    /// Who asks.
+    /// Digest of the caller's name.
     pub caller: u64,
 }
 
 impl Fingerprint {
-    /// Computes the fingerprint of a request whose body is known whole.
+    /// Computes the fingerprint of a request whose whole body is known.
     pub fn of(content: RequestContent<'_>, caller: &str) -> Self {
         let mut hasher = Xxh3::new();
         let head = [
--- a/src/model/guard_status.rs
+++ b/src/model/guard_status.rs
@@ -1,20 +1,20 @@
-//! What a guard tells of itself.
+//! The status that a guard reports to entries.
 
 use std::time::Duration;
 
 use super::{ClassRank, Level, Percent, RelayedNotice};
 
-/// A set of classes.
+/// A set of classes, by their ranks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RankSet(u32);
 
 impl RankSet {
-    /// Makes a set from one bit for each rank.
+    /// Creates a set from its bits, one for each rank.
     pub const fn from_bits(bits: u32) -> Self {
         Self(bits)
     }
 
-    /// Returns one bit for each rank.
+    /// Returns the bits of the set, one for each rank.
     pub const fn bits(self) -> u32 {
         self.0
     }
@@ -29,15 +29,15 @@
         Self(self.0 | other.0)
     }
 
-    /// Tells whether a rank is in the set.
+    /// Returns whether a rank is in the set.
     pub const fn contains(self, rank: ClassRank) -> bool {
         self.0 & (1 << rank.get()) != 0
     }
 
-    /// Puts a rank in or takes it out.
-    pub fn set(&mut self, rank: ClassRank, is_in: bool) {
+    /// Adds or removes a rank.
+    pub fn set(&mut self, rank: ClassRank, included: bool) {
         let bit = 1 << rank.get();
-        if is_in {
+        if included {
             self.0 |= bit;
         } else {
             self.0 &= !bit;
@@ -45,19 +45,19 @@
     }
 }
 
-/// What is demanded of calls to a service, by itself and further down.
+/// The levels that calls to a service must reach there and further down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DemandedLevels {
-    /// The level below which it sheds.
+    /// The level below which the service itself sheds.
     pub level: Level,
-    /// The level that services further down demand.
+    /// The level that services further down the call tree demand.
     pub downstream: Level,
-    /// The classes of which they demand it.
+    /// The classes that the downstream level applies to.
     pub downstream_classes: RankSet,
 }
 
 impl DemandedLevels {
-    /// Returns the level that is demanded of a class.
+    /// Returns the level that calls of a class must reach.
     pub fn of(&self, rank: ClassRank) -> Level {
         if self.downstream_classes.contains(rank) {
             self.level.max(self.downstream)
@@ -67,19 +67,19 @@
     }
 }
 
-/// What a guard tells of itself with each answer and refusal.
+/// The status that a guard reports with each answer and refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GuardStatus {
-    /// What is demanded of calls to it.
+    /// The levels that it demands of calls.
     pub demand: DemandedLevels,
-    /// Calls in flight at its backend server and waiting.
+    /// Calls in flight at its backend server plus calls in the wait queue.
     pub load: u32,
-    /// Calls that its backend server fails by itself.
+    /// Share of calls that fail through the backend server's own fault.
     pub fault_share: Percent,
-    /// Whether it takes no new calls.
+    /// Whether it accepts no new calls.
     pub leaving: bool,
-    /// What its backend server has said of itself, if anything.
+    /// What its backend server last reported, if anything.
     pub notice: Option<RelayedNotice>,
-    /// How long a call waits there for the rate that its server named.
+    /// How long a call waits there because of the rate that its server requested.
     pub rate_delay: Duration,
 }
--- a/src/model/id.rs
+++ b/src/model/id.rs
@@ -15,12 +15,12 @@
         pub struct $type(u128);
 
         impl $type {
-            /// Makes a new id from random bits.
+            /// Creates a random id.
             pub fn random() -> Self {
                 Self(rand::random())
             }
 
-            /// Makes an id of a known value.
+            /// Creates an id from its number.
             pub const fn new(value: u128) -> Self {
                 Self(value)
             }
@@ -50,23 +50,23 @@
 }
 
 id!(
-    /// Identifies one call to one service; onward calls name it as parent.
+    /// Identifies one call to one service; onward calls name it as their parent.
     CallId,
     "call id"
 );
 id!(
-    /// Identifies one attempt at a call; an answer is matched to it.
+    /// Identifies one attempt at a call; answers are matched to it.
     AttemptId,
     "attempt id"
 );
 id!(
-    /// Identifies the request of a caller that a whole tree of calls serves.
+    /// Identifies the caller's request at the root of a call tree.
     RootId,
     "root id"
 );
 
 impl RootId {
-    /// Returns a well-mixed hash, the same on every VM.
+    /// Returns a uniformly distributed hash, the same on every VM.
     pub fn hash(self) -> u64 {
         xxh3_64(&self.0.to_le_bytes())
     }
--- a/src/model/instance.rs
+++ b/src/model/instance.rs
@@ -1,4 +1,4 @@
-//! One run of a daemon.
+//! Identifies one run of a daemon.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -11,16 +11,16 @@
 
 /// Distinguishes successive runs at the same address.
 ///
-/// It holds the start time in milliseconds in its high bits and random bits
-/// below, so that two runs never share one even if a clock is set back.
+/// The high bits hold the start time in milliseconds and the low bits are
+/// random, so that stamps stay unique even if a clock is set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StartStamp(u64);
 
-/// Random bits below the start time.
+/// Number of random bits below the start time.
 const RANDOM_BITS: u32 = 20;
 
 impl StartStamp {
-    /// Makes the stamp of a run that starts at `unix_ms` milliseconds.
+    /// Creates the stamp of a run that starts at `unix_ms`, in Unix milliseconds.
     pub fn new(unix_ms: u64, random: u32) -> Self {
         let low = u64::from(random) & ((1 << RANDOM_BITS) - 1);
         Self(unix_ms << RANDOM_BITS | low)
@@ -35,19 +35,19 @@
 /// One run of a daemon: its peer address and start stamp, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instance {
-    /// The address on which the daemon takes calls from its peers.
+    /// The address on which the daemon accepts calls from its peers.
     pub address: SocketAddr,
     /// The stamp of this run.
     pub start: StartStamp,
 }
 
 impl Instance {
-    /// Makes an instance from its parts.
+    /// Creates an instance from its parts.
     pub const fn new(address: SocketAddr, start: StartStamp) -> Self {
         Self { address, start }
     }
 
-    /// Returns a hash of the address, which all runs at it share.
+    /// Returns a hash of the address, the same for all runs at this address.
     pub fn hash(&self, seed: u64) -> u64 {
         let mut bytes = [0; 18];
         match self.address.ip() {
@@ -69,10 +69,10 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::value("instance", format!("\"{text}\" must be IP:PORT@HEX"));
-        let (address, stamp) = text.split_once('@').ok_or_else(wrong)?;
-        let address = address.parse().map_err(|_| wrong())?;
-        let stamp = u64::from_str_radix(stamp, 16).map_err(|_| wrong())?;
+        let invalid = || Error::value("instance", format!("\"{text}\" must be IP:PORT@HEX"));
+        let (address, stamp) = text.split_once('@').ok_or_else(invalid)?;
+        let address = address.parse().map_err(|_| invalid())?;
+        let stamp = u64::from_str_radix(stamp, 16).map_err(|_| invalid())?;
         Ok(Self::new(address, StartStamp(stamp)))
     }
 }
--- a/src/model/key_digest.rs
+++ b/src/model/key_digest.rs
@@ -1,4 +1,4 @@
-//! Digests that stand for API keys.
+//! Digests of API keys.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,28 +8,28 @@
 
 use crate::error::Error;
 
-/// Sets these digests apart from all others of the same text.
+/// Prefix that separates these digests from other digests of the same text.
 const DOMAIN: &[u8] = b"bramleymount api key\0";
-/// Length of a digest, in bytes: half of a SHA-256, which nobody meets by
-/// chance and nobody finds a second text for.
-const LEN: usize = 16;
+/// Half of a SHA-256 digest: long enough to rule out chance collisions and
+/// second preimages.
+const DIGEST_BYTES: usize = 16;
 
-/// Stands for an API key everywhere behind the point where it was read, so that
-/// no table, log line or message between daemons holds the key itself.
+/// Replaces an API key once it has been read, so that no table, log line or
+/// message between daemons contains the key itself.
 ///
-/// All daemons compute the same digest of a key. Keys are random texts, so that
-/// a digest does not give them away.
+/// All daemons compute the same digest of a key. Keys are random, so they can't
+/// be guessed from their digests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyDigest([u8; LEN]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
-        let whole = Sha256::new().chain_update(DOMAIN).chain_update(key);
-        let whole = whole.finalize();
-        let mut half = [0; LEN];
-        half.copy_from_slice(&whole[..LEN]);
-        Self(half)
+        let hasher = Sha256::new().chain_update(DOMAIN).chain_update(key);
+        let full = hasher.finalize();
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&full[..DIGEST_BYTES]);
+        Self(digest)
     }
 }
 
@@ -49,12 +49,12 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        // The text may be a key written in the wrong place, so it is not shown.
-        let wrong = || Error::value("digest of a key", "it must be 32 hexadecimal digits");
-        if text.len() != 2 * LEN {
-            return Err(wrong());
+        // The text may be a key written in the wrong place, so the error omits it.
+        let invalid = || Error::value("digest of a key", "it must be 32 hexadecimal digits");
+        if text.len() != 2 * DIGEST_BYTES {
+            return Err(invalid());
         }
-        let number = u128::from_str_radix(text, 16).map_err(|_| wrong())?;
+        let number = u128::from_str_radix(text, 16).map_err(|_| invalid())?;
         Ok(Self(number.to_be_bytes()))
     }
 }
--- a/src/model/level.rs
+++ b/src/model/level.rs
@@ -1,24 +1,25 @@
-//! The admission level that guards advertise.
+//! Admission levels that guards advertise.
 
 use std::fmt;
 
 use super::ClassRank;
 
-/// A point in the order of shedding; work below a guard's level is refused.
+/// The importance of a call, or a threshold on it: a guard refuses calls whose
+/// level is below its own.
 ///
-/// It is made of the class and ten bits of the root's hash. A greater level
-/// is more important.
+/// It consists of the class and ten bits of the root's hash. A greater level is
+/// more important.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Level(u16);
 
 impl Level {
-    /// Steps within one class.
+    /// Number of levels within one class.
     pub const STEPS: usize = 1024;
     /// Number of distinct levels.
     pub const COUNT: usize = Self::STEPS * ClassRank::COUNT;
-    /// The level that refuses nothing.
+    /// The level at which nothing is refused.
     pub const ADMIT_ALL: Self = Self(0);
-    /// The level that refuses nearly all.
+    /// The level at which nearly everything is refused.
     pub const HIGHEST: Self = Self(Self::COUNT as u16 - 1);
 
     /// Computes the level of a class and a 16-bit hash of the root.
@@ -27,10 +28,10 @@
         Self(class * Self::STEPS as u16 + (hash >> 6))
     }
 
-    /// Makes a level from its number; greater ones count as the greatest.
+    /// Creates a level from its number, capped at [`Level::HIGHEST`].
     pub fn from_raw(raw: u32) -> Self {
-        let top = Self::COUNT as u32 - 1;
-        Self(raw.min(top) as u16)
+        let highest = Self::COUNT as u32 - 1;
+        Self(raw.min(highest) as u16)
     }
 
     /// Returns the level as a number.
@@ -48,7 +49,7 @@
         (self.index() / Self::STEPS + 1) * Self::STEPS
     }
 
-    /// Returns the class that this level cuts through.
+    /// Returns the class that this level falls into.
     pub fn rank(self) -> ClassRank {
         ClassRank::new(ClassRank::COUNT - 1 - self.index() / Self::STEPS)
     }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names, ids, sizes and rates, shared by all modules.
+//! Types for names, ids, sizes, rates and statuses, shared by all modules.
 
 mod crash_id;
 mod fingerprint;
--- a/src/model/name.rs
+++ b/src/model/name.rs
@@ -8,14 +8,14 @@
 
 use crate::error::Error;
 
-/// Longest name that is accepted, in bytes.
-const MAX_LEN: usize = 64;
+/// Longest accepted name, in bytes.
+const MAX_BYTES: usize = 64;
 
-fn check(kind: &'static str, text: &str) -> Result<(), Error> {
-    if text.is_empty() || text.len() > MAX_LEN {
+fn check_name(kind: &'static str, text: &str) -> Result<(), Error> {
+    if text.is_empty() || text.len() > MAX_BYTES {
         return Err(Error::value(
             kind,
-            format!("\"{text}\" must have 1 to {MAX_LEN} characters"),
+            format!("\"{text}\" must have 1 to {MAX_BYTES} characters"),
         ));
     }
     let valid = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
@@ -45,7 +45,7 @@
             type Err = Error;
 
             fn from_str(text: &str) -> Result<Self, Error> {
-                check($kind, text)?;
+                check_name($kind, text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -97,7 +97,7 @@
     "route name"
 );
 name!(
-    /// The name of a caller, as the rules know it.
+    /// The name of a caller, as declared in the rules.
     CallerName,
     "caller name"
 );
--- a/src/model/notice.rs
+++ b/src/model/notice.rs
@@ -1,19 +1,19 @@
-//! What a backend server says of itself with its answers.
+//! Notices that a backend server sends with its answers.
 
 use std::fmt;
 use std::time::Duration;
 
 use super::{Rate, RunId};
 
-/// What an answer says of the requests a second that its server takes.
+/// The request rate that a backend server asks for with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestedRate {
-    /// Nothing.
+    /// The answer names no rate.
     #[default]
     None,
-    /// It takes so many, from all VMs together.
+    /// The total rate that the server accepts from all VMs.
     Some(Rate),
-    /// Something that is no rate.
+    /// The answer names a rate that can't be parsed.
     Unreadable,
 }
 
@@ -27,27 +27,26 @@
     }
 }
 
-/// What a backend server says of itself with an answer.
+/// What a backend server reports about itself with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// The requests that it takes.
+    /// The request rate that it accepts.
     pub rate: RequestedRate,
     /// Whether it is about to stop.
     pub leaving: bool,
-    /// After which time it takes a request that it refused, if it says so.
+    /// When a refused request may be retried, if the server says so.
     pub retry_after: Option<Duration>,
 }
 
-/// What one run of a backend server has said of itself, as daemons tell it to
-/// each other.
+/// What one run of a backend server has reported, as daemons relay it.
 ///
-/// An entry that was told tells it back with its calls, so a guard that has
-/// started again beside the run knows it before the first call of any such entry.
+/// Guards send it to entries, which send it back with their calls. So a guard
+/// that restarts during the run knows it before it admits the first such call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayedNotice {
-    /// The run that it is true of.
+    /// The run that the notice applies to.
     pub run: RunId,
-    /// The requests a second that it takes, if it named a rate.
+    /// The rate that it requested, if any.
     pub rate: Option<Rate>,
     /// Whether it is about to stop.
     pub leaving: bool,
--- a/src/model/once_key.rs
+++ b/src/model/once_key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of calls that must run at most once.
+//! Idempotency keys of once calls, which must run at most once.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,46 +9,46 @@
 use super::Instance;
 use crate::error::Error;
 
-/// Longest key that is accepted, in bytes.
-const MAX_LEN: usize = 255;
+/// Longest accepted key, in bytes.
+const MAX_BYTES: usize = 255;
 
-/// What a key begins with that a daemon issued.
+/// Prefix of keys that were issued by a daemon.
 const TICKET_PREFIX: &str = "bm1.";
 
-/// When a key was made, in milliseconds of Unix time.
+/// The time at which a key was created, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MintTime(u64);
 
 impl MintTime {
-    /// Makes a mint time from milliseconds of Unix time.
+    /// Creates a mint time from Unix milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Returns milliseconds of Unix time.
+    /// Returns the time in Unix milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// Returns the time that is `ms` milliseconds later.
+    /// Returns the time `ms` milliseconds later, or the latest possible time.
     pub const fn saturating_add(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
     }
 
-    /// Returns the milliseconds from `earlier` to this time, or 0.
+    /// Returns the milliseconds since `earlier`, or 0 if that is later.
     pub const fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// An idempotency key, by what it says of the instance that may start it.
+/// An idempotency key; its form determines which instance may start the call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OnceKey {
-    /// Issued by a daemon and bound to one instance for good.
+    /// Issued by a daemon and permanently bound to one instance.
     Ticket {
         /// The only instance that may start the call.
         instance: Instance,
-        /// What tells this key from others of the instance.
+        /// Distinguishes the keys of the instance.
         id: Uuid,
     },
     /// A version 7 UUID, which carries its mint time.
@@ -64,7 +64,7 @@
         Self::Ticket { instance, id }
     }
 
-    /// Returns when the key was made, if it says so.
+    /// Returns when the key was created, if it carries that time.
     pub fn mint_time(&self) -> Option<MintTime> {
         match self {
             Self::Ticket { id, .. } | Self::Dated(id) => {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns a well-mixed hash, the same on every VM.
+    /// Returns a uniformly distributed hash, the same on every VM.
     pub fn hash(&self) -> u64 {
         match self {
             Self::Ticket { id, .. } | Self::Dated(id) => xxh3_64(id.as_bytes()),
@@ -98,18 +98,19 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = |message: &str| Error::value("idempotency key", message);
-        if text.is_empty() || text.len() > MAX_LEN {
-            return Err(wrong("it must have 1 to 255 characters"));
+        let invalid = |message: &str| Error::value("idempotency key", message);
+        if text.is_empty() || text.len() > MAX_BYTES {
+            return Err(invalid("it must have 1 to 255 characters"));
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(wrong("it may hold only printable ASCII without spaces"));
+            return Err(invalid("it may hold only printable ASCII without spaces"));
         }
         if let Some(rest) = text.strip_prefix(TICKET_PREFIX) {
             let (instance, id) = rest
                 .rsplit_once('.')
-                .ok_or_else(|| wrong("it begins as a ticket but has no id"))?;
-            let id = Uuid::try_parse(id).map_err(|_| wrong("the id of the ticket is no UUID"))?;
+                .ok_or_else(|| invalid("a ticket must end in '.' and an id"))?;
+            let id =
+                Uuid::try_parse(id).map_err(|_| invalid("the id of a ticket must be a UUID"))?;
             let instance = instance.parse()?;
             return Ok(Self::Ticket { instance, id });
         }
--- a/src/model/positive_duration.rs
+++ b/src/model/positive_duration.rs
@@ -1,4 +1,4 @@
-//! Durations as written in settings.
+//! Durations in settings.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,15 +8,15 @@
 
 use crate::error::Error;
 
-/// A duration above zero, written with its unit, such as `250ms` or `2s`.
+/// A duration above zero, written with a unit, such as `250ms` or `2s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PositiveDuration(Duration);
 
 impl PositiveDuration {
-    /// Longest duration that is accepted.
+    /// Longest accepted duration.
     pub const MAX: Duration = Duration::from_secs(7 * 24 * 3600);
 
-    /// Makes a duration of whole milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
@@ -27,8 +27,8 @@
     }
 }
 
-/// Reads a number of seconds with a fraction, such as `2.5s`.
-fn fraction(text: &str) -> Option<Duration> {
+/// Parses a number of seconds with a fraction, such as `2.5s`.
+fn parse_fractional_seconds(text: &str) -> Option<Duration> {
     let number = text.strip_suffix('s')?;
     if !number.contains('.') {
         return None;
@@ -40,15 +40,18 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = |message: String| Error::value("duration", message);
-        let parsed = fraction(text).map_or_else(|| humantime::parse_duration(text).ok(), Some);
+        let invalid = |message: String| Error::value("duration", message);
+        let parsed = parse_fractional_seconds(text)
+            .map_or_else(|| humantime::parse_duration(text).ok(), Some);
         let time = parsed.ok_or_else(|| {
-            wrong(format!(
+            invalid(format!(
                 "\"{text}\" must be a number with its unit, such as 250ms, 2s or 5m"
             ))
         })?;
         if time.is_zero() || time > Self::MAX {
-            return Err(wrong(format!("\"{text}\" must be above 0 and at most 7d")));
+            return Err(invalid(format!(
+                "\"{text}\" must be above 0 and at most 7d"
+            )));
         }
         Ok(Self(time))
     }
--- a/src/model/rate.rs
+++ b/src/model/rate.rs
@@ -1,4 +1,4 @@
-//! Rates of requests.
+//! Request rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,32 +7,32 @@
 
 use crate::error::Error;
 
-/// Parts of a request that rates are kept in, so that they compare exactly.
-const PARTS: f64 = 1000.0;
+/// Rates are stored in whole thousandths so that they compare exactly.
+const PARTS_PER_REQUEST: f64 = 1000.0;
 
-/// Requests a second, written such as `12.5/s`.
+/// A number of requests per second, written such as `12.5/s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rate(u64);
 
 impl Rate {
-    /// Makes a rate of requests a second; what is below zero counts as zero.
+    /// Creates a rate from requests per second; negative numbers count as zero.
     pub fn per_second(requests: f64) -> Self {
-        Self((requests.max(0.0) * PARTS).round() as u64)
+        Self((requests.max(0.0) * PARTS_PER_REQUEST).round() as u64)
     }
 
-    /// Makes a rate of thousandths of a request a second.
+    /// Creates a rate from thousandths of a request per second.
     pub const fn from_thousandths(parts: u64) -> Self {
         Self(parts)
     }
 
-    /// Returns the thousandths of a request a second.
+    /// Returns the rate in thousandths of a request per second.
     pub const fn as_thousandths(self) -> u64 {
         self.0
     }
 
-    /// Returns the requests a second.
+    /// Returns the rate in requests per second.
     pub fn get(self) -> f64 {
-        self.0 as f64 / PARTS
+        self.0 as f64 / PARTS_PER_REQUEST
     }
 }
 
@@ -46,13 +46,13 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::value("rate", format!("\"{text}\" must be such as 12.5/s"));
-        let number = text.strip_suffix("/s").ok_or_else(wrong)?;
+        let invalid = || Error::value("rate", format!("\"{text}\" must be such as 12.5/s"));
+        let number = text.strip_suffix("/s").ok_or_else(invalid)?;
         match number.trim().parse::<f64>() {
             Ok(requests) if requests.is_finite() && requests > 0.0 => {
                 Ok(Self::per_second(requests))
             }
-            Ok(_) | Err(_) => Err(wrong()),
+            Ok(_) | Err(_) => Err(invalid()),
         }
     }
 }
--- a/src/model/run_id.rs
+++ b/src/model/run_id.rs
@@ -1,4 +1,4 @@
-//! Short id of one run of a backend server.
+//! Short ids of backend server runs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,19 +8,19 @@
 use super::{ServerId, ServerStart};
 use crate::error::Error;
 
-/// Tells one run of a backend server from others, also from those that had the
-/// same id.
+/// Identifies one run of a backend server, even among runs with the same server
+/// id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RunId(u64);
 
 impl RunId {
-    /// Makes the id of a run of `server`, which started at `born` if it tells.
+    /// Computes the id of a run of `server`, with its start time if it is known.
     pub fn of(server: &ServerId, start: Option<ServerStart>) -> Self {
         let start = start.map_or(0, ServerStart::as_millis);
         Self(xxh3_64_with_seed(server.as_str().as_bytes(), start))
     }
 
-    /// Makes an id of a number that another daemon sent.
+    /// Creates an id from a number that another daemon sent.
     pub const fn new(raw: u64) -> Self {
         Self(raw)
     }
@@ -41,7 +41,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = |_| Error::value("run", format!("\"{text}\" is no hexadecimal number"));
-        u64::from_str_radix(text, 16).map(Self).map_err(wrong)
+        let invalid = |_| Error::value("run", format!("\"{text}\" must be a hexadecimal number"));
+        u64::from_str_radix(text, 16).map(Self).map_err(invalid)
     }
 }
--- a/src/model/server_id.rs
+++ b/src/model/server_id.rs
@@ -1,14 +1,14 @@
-//! Identifies one run of a backend server.
+//! Ids that backend servers announce.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::error::Error;
 
-/// Longest id that is accepted, in bytes.
-const MAX_LEN: usize = 200;
+/// Longest accepted id, in bytes.
+const MAX_BYTES: usize = 200;
 
-/// The id of one run of a backend server, as it announces itself.
+/// The id of one run of a backend server, as the server announces it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(Box<str>);
 
@@ -24,9 +24,9 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let valid =
-            (1..=MAX_LEN).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+            (1..=MAX_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         if !valid {
-            let message = format!("it must have 1 to {MAX_LEN} printable characters");
+            let message = format!("it must have 1 to {MAX_BYTES} printable characters");
             return Err(Error::value("server id", message));
         }
         Ok(Self(text.into()))
--- a/src/model/server_start.rs
+++ b/src/model/server_start.rs
@@ -1,23 +1,23 @@
-//! When a run of a backend server started.
+//! The start time of a backend server's run.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::error::Error;
 
-/// The start of a run of a backend server, in Unix milliseconds by its clock.
+/// The start time of a backend server's run, in Unix milliseconds of its clock.
 ///
-/// It tells apart runs that have the same id.
+/// Distinguishes runs that have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerStart(u64);
 
 impl ServerStart {
-    /// Makes a start of Unix milliseconds.
+    /// Creates a start time from Unix milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// Returns the start in Unix milliseconds.
+    /// Returns the start time in Unix milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
@@ -33,7 +33,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = |_| Error::value("start", format!("\"{text}\" is no whole number"));
-        text.parse().map(Self).map_err(wrong)
+        let invalid = |_| Error::value("start", format!("\"{text}\" must be a whole number"));
+        text.parse().map(Self).map_err(invalid)
     }
 }
--- a/src/model/size.rs
+++ b/src/model/size.rs
@@ -1,4 +1,4 @@
-//! Counts and sizes with their bounds.
+//! Counts and sizes with bounds.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,7 +14,7 @@
         pub struct $type(u32);
 
         impl $type {
-            /// Makes a size that is known to be within its bounds.
+            /// Creates a size that is known to be within its bounds.
             pub const fn new(value: u32) -> Self {
                 Self(value)
             }
@@ -68,28 +68,28 @@
 }
 
 size!(
-    /// Calls that a backend server runs at one time.
+    /// The number of calls that a backend server runs concurrently.
     Slots,
     "number of slots",
     1,
     100_000
 );
 size!(
-    /// Connections that a backend server's VM accepts.
+    /// The number of connections that a backend server's VM accepts.
     Connections,
     "number of connections",
     1,
     1_000_000
 );
 size!(
-    /// Retries that one request may use over its whole tree of calls.
+    /// The number of retries that one request may use in its whole call tree.
     Retries,
     "number of retries",
     0,
     100
 );
 size!(
-    /// The part of a service in a route, in proportion to the others.
+    /// The share of a service in a route, relative to the route's other services.
     Weight,
     "weight",
     0,
--- a/src/model/verdict.rs
+++ b/src/model/verdict.rs
@@ -5,7 +5,7 @@
 
 use crate::error::Error;
 
-/// Says whether a backend server may have run a request.
+/// Whether a backend server may have run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
     /// No backend server started the request, and none will.
@@ -17,7 +17,7 @@
 }
 
 impl Verdict {
-    /// Returns the text that stands in the response header.
+    /// Returns the value of the response header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/src/model/version.rs
+++ b/src/model/version.rs
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 
-/// A version of the configuration; it only grows.
+/// The version number of a configuration, which only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,7 +18,7 @@
     /// The version of a daemon that has no configuration yet.
     pub const NONE: Self = Self(0);
 
-    /// Makes a version from its number.
+    /// Creates a version from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -28,7 +28,7 @@
         self.0
     }
 
-    /// Returns the version that follows.
+    /// Returns the next version.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/src/model/workspace_id.rs
+++ b/src/model/workspace_id.rs
@@ -11,8 +11,8 @@
 
 /// A hash of a workspace's name, the same on every VM.
 ///
-/// It takes the place of the name in calls between daemons. Workspaces that
-/// have one id by chance are served as if they were one.
+/// It replaces the name in calls between daemons. Workspaces whose ids collide
+/// are treated as one workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkspaceId(NonZeroU32);
 
@@ -23,7 +23,7 @@
         Self(NonZeroU32::new(hash).unwrap_or(NonZeroU32::MIN))
     }
 
-    /// Makes an id from its number; 0 stands for no workspace.
+    /// Creates an id from its number; 0 means no workspace.
     pub fn from_raw(raw: u32) -> Option<Self> {
         NonZeroU32::new(raw).map(Self)
     }
--- a/src/model/workspace_name.rs
+++ b/src/model/workspace_name.rs
@@ -7,13 +7,13 @@
 
 use crate::error::Error;
 
-/// Longest name that is accepted, in bytes; names of rows have the same bound.
-const MAX_LEN: usize = 200;
+/// Longest accepted name, in bytes; names of rows have the same limit.
+const MAX_BYTES: usize = 200;
 
-/// The name of a workspace: what the backend server is told of who calls.
+/// The name of a workspace, by which the backend server knows the caller.
 ///
-/// Operators give these names elsewhere too, so that any visible text will do
-/// that can stand in a header.
+/// Operators also use these names in other systems, so any visible ASCII text is
+/// accepted that fits in a header.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkspaceName(Box<str>);
 
@@ -28,8 +28,8 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        if text.is_empty() || text.len() > MAX_LEN {
-            let message = format!("\"{text}\" must have 1 to {MAX_LEN} characters");
+        if text.is_empty() || text.len() > MAX_BYTES {
+            let message = format!("\"{text}\" must have 1 to {MAX_BYTES} characters");
             return Err(Error::value("workspace name", message));
         }
         if !text.chars().all(|c| c.is_ascii_graphic()) {
--- a/tests/fingerprint.rs
+++ b/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Two attempts at one request have one fingerprint, and no others have it.
+//! Fingerprints: equal for all attempts at a request, different for other requests.
 
 #![allow(missing_docs)]
 
@@ -6,7 +6,7 @@
 use http::Method;
 use rstest::rstest;
 
-fn asked<'r>(
+fn content<'r>(
     method: &'r Method,
     host: &'r str,
     target: &'r str,
@@ -21,28 +21,33 @@
 }
 
 #[test]
-fn fingerprint_of_one_request_is_one() {
-    let of = || Fingerprint::of(asked(&Method::GET, "a.example", "/read/x?a=1", b""), "till");
+fn fingerprint_equal_for_same_request() {
+    let of = || {
+        Fingerprint::of(
+            content(&Method::GET, "a.example", "/read/x?a=1", b""),
+            "till",
+        )
+    };
     assert_eq!(of(), of());
 }
 
 #[rstest]
-#[case::method(asked(&Method::HEAD, "a.example", "/read/x", b"body"))]
-#[case::host(asked(&Method::GET, "b.example", "/read/x", b"body"))]
-#[case::target(asked(&Method::GET, "a.example", "/read/x?", b"body"))]
-#[case::body(asked(&Method::GET, "a.example", "/read/x", b"Body"))]
-#[case::border(asked(&Method::GET, "a.example/", "read/x", b"body"))]
-#[case::border_of_body(asked(&Method::GET, "a.example", "/read/xb", b"ody"))]
-fn fingerprint_tells_requests_apart(#[case] other: RequestContent<'static>) {
-    let one = asked(&Method::GET, "a.example", "/read/x", b"body");
+#[case::method(content(&Method::HEAD, "a.example", "/read/x", b"body"))]
+#[case::host(content(&Method::GET, "b.example", "/read/x", b"body"))]
+#[case::target(content(&Method::GET, "a.example", "/read/x?", b"body"))]
+#[case::body(content(&Method::GET, "a.example", "/read/x", b"Body"))]
+#[case::boundary(content(&Method::GET, "a.example/", "read/x", b"body"))]
+#[case::body_boundary(content(&Method::GET, "a.example", "/read/xb", b"ody"))]
+fn fingerprint_differs_between_requests(#[case] other: RequestContent<'static>) {
+    let one = content(&Method::GET, "a.example", "/read/x", b"body");
     let (one, other) = (Fingerprint::of(one, "till"), Fingerprint::of(other, "till"));
     assert_ne!(one.digest, other.digest);
     assert_eq!(one.caller, other.caller);
 }
 
 #[test]
-fn fingerprint_tells_callers_apart() {
-    let of = |caller| Fingerprint::of(asked(&Method::GET, "a.example", "/", b""), caller);
+fn fingerprint_differs_between_callers() {
+    let of = |caller| Fingerprint::of(content(&Method::GET, "a.example", "/", b""), caller);
     assert_eq!(of("till").digest, of("desk").digest);
     assert_ne!(of("till"), of("desk"));
 }
