--- a/src/call/confirm.rs
+++ b/src/call/confirm.rs
@@ -1,22 +1,21 @@
-//! The word by which an entry lets a guard start a call.
+//! Confirmation by the entry that a guard may start a call.
 
 use futures_util::future::BoxFuture;
 
-/// Asks the entry, once a slot is free, whether the call is to start.
+/// Asks the entry, once a slot is free, whether to start the call.
 ///
-/// An entry that sent a call which must not run twice has said nothing yet by
-/// sending it: it can give the call up and try it elsewhere until it answers
-/// this question. So a connection that is lost or silent before then leaves
-/// the call provably not run.
+/// Until the entry confirms a call that must not run twice, it can give up on it
+/// and try elsewhere. So if the connection is lost or silent before then, the
+/// call has provably not run.
 pub struct StartConfirmation(Box<dyn FnOnce() -> BoxFuture<'static, bool> + Send>);
 
 impl StartConfirmation {
-    /// Makes the question of what asks it.
+    /// Creates a confirmation from the function that asks the entry.
     pub fn new(ask: impl FnOnce() -> BoxFuture<'static, bool> + Send + 'static) -> Self {
         Self(Box::new(ask))
     }
 
-    /// Asks; resolves to whether the call is to start.
+    /// Asks the entry and returns whether to start the call.
     pub async fn request(self) -> bool {
         (self.0)().await
     }
--- a/src/call/head.rs
+++ b/src/call/head.rs
@@ -1,4 +1,4 @@
-//! What travels with a call besides its body.
+//! The head of a call: everything but its body.
 
 use http::{HeaderMap, Method};
 use tokio::time::Instant;
@@ -10,40 +10,40 @@
 };
 use crate::web::Payload;
 
-/// What makes a call one that must run at most once.
+/// Marks a call that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnceCall {
     /// The idempotency key.
     pub key: OnceKey,
 }
 
-/// What travels with a call besides its body.
+/// All that is sent with a call except its body.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// This attempt.
+    /// Id of this attempt.
     pub attempt: AttemptId,
-    /// This call; onward calls name it as their parent.
+    /// Id of this call; onward calls name it as their parent.
     pub call: CallId,
-    /// The request at the root of the tree.
+    /// Id of the request at the root of the call tree.
     pub root: RootId,
     /// The service that is called.
     pub service: ServiceName,
-    /// Who called first, if declared.
+    /// The caller of the root request, if it is declared in the rules.
     pub caller: Option<CallerName>,
-    /// The workspace of the request at the root of the tree, if known.
+    /// The workspace of the root request, if known.
     pub workspace: Option<WorkspaceId>,
     /// The class of the request.
     pub class: ClassName,
-    /// The place in the order of admission.
+    /// The priority for admission.
     pub priority: Priority,
-    /// How many calls stand above this one.
+    /// The number of calls above this one in the call tree.
     pub depth: Depth,
-    /// Whether a caller made it itself and it needs no others, as learned from
-    /// the calls of its class.
+    /// Whether it is a root call that is expected to make no onward calls, as
+    /// learned from earlier calls of its class.
     pub single_call: bool,
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Retries lent to this attempt and all calls below it.
+    /// Retries granted to this attempt and all its onward calls.
     pub granted_retries: Retries,
     /// Set if the call must run at most once.
     pub once: Option<OnceCall>,
@@ -55,12 +55,12 @@
     pub target: Box<str>,
     /// The headers for the backend server.
     pub headers: HeaderMap,
-    /// What it asks for, if its body was known whole before it was sent.
+    /// The fingerprint, if the whole body was known before sending.
     pub fingerprint: Option<Fingerprint>,
-    /// What the entry was told of the backend server that it is sent to.
+    /// What the entry last learned of the backend server that it is sent to.
     pub notice: Option<RelayedNotice>,
-    /// Whether it waits for the rate of its backend server, since no other one
-    /// has room.
+    /// Whether it may wait for the request rate of its backend server, because no
+    /// other one has rate capacity.
     pub may_wait: bool,
 }
 
@@ -71,6 +71,6 @@
     pub head: CallHead,
     /// The body.
     pub body: Payload,
-    /// Set if the entry wants to be asked before the call starts.
+    /// Set if the entry must confirm the call before it starts.
     pub confirm: Option<StartConfirmation>,
 }
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -1,5 +1,4 @@
-//! A call between entry and guard, its answer, and what is said when there is
-//! no answer.
+//! Calls between entry and guard, their answers, and refusals in place of answers.
 
 mod attempt;
 mod confirm;
--- a/src/call/own.rs
+++ b/src/call/own.rs
@@ -1,4 +1,4 @@
-//! The product's own headers.
+//! The built-in header protocol.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use super::{AnswerMeaning, CallHead, Protocol, Refusal, RequestInfo, RequestOrigin};
 use crate::model::{CallId, KeyDigest, PositiveDuration, ServerId};
 
-/// The header by which onward calls name the call they belong to.
+/// Header by which onward calls name their parent call.
 pub const CALL_HEADER: HeaderName = HeaderName::from_static("bramleymount-call");
-/// By which a caller says how long it waits, such as `250ms`.
+/// Header with the time that a caller waits, such as `250ms`.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("bramleymount-timeout");
-/// By which a caller counts its attempts at one request, from 1.
+/// Header with a caller's count of its attempts at one request, from 1.
 pub const ATTEMPT_HEADER: HeaderName = HeaderName::from_static("bramleymount-attempt");
-/// By which the backend server is told whose key a caller has sent.
+/// Header that names to the backend server the workspace of a caller's key.
 pub const WORKSPACE_HEADER: HeaderName = HeaderName::from_static("bramleymount-workspace");
 
-/// What stands before an API key in the header of that name.
-const BEARER: &str = "Bearer ";
+/// Prefix of an API key in the `authorization` header.
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// Longest time that a caller may wait.
+/// Longest timeout of a caller; greater ones are capped.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Headers that concern one connection only.
-static HOP: [HeaderName; 6] = [
+/// Hop-by-hop headers, which apply to one connection only.
+static HOP_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     TE,
     TRANSFER_ENCODING,
@@ -35,8 +35,8 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Returns the headers without those that concern one connection only, be it
-/// by their name or since the connection header lists them.
+/// Returns the headers without hop-by-hop headers, including those that the
+/// `connection` header lists.
 pub fn strip_hop_headers(mut headers: HeaderMap) -> HeaderMap {
     if headers.contains_key(CONNECTION) {
         let listed: Vec<HeaderValue> = headers.get_all(CONNECTION).iter().cloned().collect();
@@ -45,13 +45,13 @@
             headers.remove(name.trim());
         }
     }
-    for name in &HOP {
+    for name in &HOP_HEADERS {
         headers.remove(name);
     }
     headers
 }
 
-/// The product's own headers, for callers that reach it directly.
+/// The built-in header protocol, for callers that reach a daemon directly.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnProtocol;
 
@@ -61,9 +61,9 @@
         let timeout = match parts.headers.get(&TIMEOUT_HEADER) {
             None => None,
             Some(value) => {
-                let span: Result<PositiveDuration, _> = value.to_str().unwrap_or("?").parse();
-                let span = span.map_err(Box::<str>::from)?;
-                Some(span.get().min(MAX_TIMEOUT))
+                let parsed: Result<PositiveDuration, _> = value.to_str().unwrap_or("?").parse();
+                let timeout = parsed.map_err(Box::<str>::from)?;
+                Some(timeout.get().min(MAX_TIMEOUT))
             }
         };
         Ok(RequestInfo {
@@ -73,7 +73,7 @@
             timeout,
             attempt: text(&ATTEMPT_HEADER).and_then(|count| count.parse().ok()),
             key: text(&AUTHORIZATION)
-                .and_then(|value| value.strip_prefix(BEARER))
+                .and_then(|value| value.strip_prefix(BEARER_PREFIX))
                 .map(|key| KeyDigest::of(key.trim().as_bytes())),
         })
     }
@@ -83,7 +83,7 @@
     }
 
     fn forward_headers(&self, headers: &HeaderMap, from: RequestOrigin<'_>) -> HeaderMap {
-        let mut kept = strip_hop_headers(headers.clone());
+        let mut forwarded = strip_hop_headers(headers.clone());
         for name in [
             &HOST,
             &CALL_HEADER,
@@ -92,15 +92,15 @@
             &EXPECT,
             &WORKSPACE_HEADER,
         ] {
-            kept.remove(name);
+            forwarded.remove(name);
         }
         if let Some(workspace) = from.workspace {
-            kept.remove(AUTHORIZATION);
+            forwarded.remove(AUTHORIZATION);
             if let Ok(name) = HeaderValue::from_str(workspace.as_str()) {
-                kept.insert(WORKSPACE_HEADER, name);
+                forwarded.insert(WORKSPACE_HEADER, name);
             }
         }
-        kept
+        forwarded
     }
 
     fn add_attempt(
--- a/src/call/protocol.rs
+++ b/src/call/protocol.rs
@@ -1,4 +1,4 @@
-//! The headers spoken with callers and with the backend server.
+//! Protocols: the headers exchanged with callers and the backend server.
 
 use std::time::Duration;
 
@@ -9,68 +9,68 @@
 use super::{CallHead, Refusal};
 use crate::model::{CallId, KeyDigest, Notice, RootId, ServerId, ServiceName, WorkspaceName};
 
-/// What the headers of a request say.
+/// What a protocol reads from the headers of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The id of the call, the same for all who know its headers.
+    /// The id of the call; if the headers carry one, all daemons derive the same.
     pub call: CallId,
-    /// The request that the call belongs to, if the headers tell.
+    /// The root request that the call belongs to, if the headers name it.
     pub root: Option<RootId>,
-    /// The call that this one is made for, if the headers tell.
+    /// The parent call, if the headers name it.
     pub parent: Option<CallId>,
     /// How long the caller waits.
     pub timeout: Option<Duration>,
     /// The caller's count of its attempts, from 1.
     pub attempt: Option<u32>,
-    /// The caller's API key, of which nothing but the digest is kept.
+    /// Digest of the caller's API key; the key itself is not stored.
     pub key: Option<KeyDigest>,
 }
 
-/// Who sent a request, as the entry knows it.
+/// The sender of a request, as the entry knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOrigin<'o> {
-    /// The service of the backend server on whose VM it began.
+    /// The service of the backend server on whose VM the request began.
     pub service: &'o ServiceName,
-    /// The workspace of the key that came with it.
+    /// The workspace of the API key that the request carried.
     pub workspace: Option<&'o WorkspaceName>,
 }
 
-/// What an answer of the backend server means.
+/// What a backend server's answer means for the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerMeaning {
     /// It is the answer to the call.
     Answer,
     /// The backend server has not run the call and will not.
     NotRun,
-    /// Another run of a backend server stands at the address, whose id it may
-    /// tell; it has not run the call.
+    /// A different run of a backend server listens at the address and has not run
+    /// the call; carries that run's id if the answer names it.
     OtherServer(Option<ServerId>),
-    /// It is no answer to this call.
+    /// The answer doesn't belong to this call or can't be interpreted.
     Invalid,
 }
 
-/// The headers spoken with callers and with the backend server.
+/// Headers exchanged with callers and the backend server.
 ///
-/// A protocol only reads and writes headers; what follows from them is
-/// decided by entry and guard.
+/// A protocol only reads and writes headers; entry and guard decide what follows
+/// from them.
 pub trait Protocol: Send + Sync {
     /// Reads the headers of a request.
     ///
     /// # Errors
     ///
-    /// Returns what to write instead.
+    /// Fails if a header is malformed; the message names the valid form.
     fn read_request(&self, parts: &Parts) -> Result<RequestInfo, Box<str>>;
 
-    /// Returns the id by which the caller knows a request, or nothing.
+    /// Returns the caller's own id of a request, or an empty text.
     fn request_id<'r>(&self, headers: &'r HeaderMap) -> &'r str;
 
-    /// Makes the headers that go on to the backend server of those that a
-    /// caller sent: without its key, and with who it is in place of whatever it
-    /// said of that.
+    /// Converts a caller's headers to those that are forwarded to the backend
+    /// server: its API key is removed, and whatever it claims about its identity is
+    /// replaced by `from`.
     fn forward_headers(&self, headers: &HeaderMap, from: RequestOrigin<'_>) -> HeaderMap;
 
-    /// Adds what holds for one attempt: its id, what is left of its time, and
-    /// the run of the backend server that it is meant for.
+    /// Adds the headers of one attempt: its id, its remaining time, and the run of
+    /// the backend server that it is for.
     fn add_attempt(
         &self,
         headers: &mut HeaderMap,
@@ -79,7 +79,7 @@
         server: Option<&ServerId>,
     );
 
-    /// Tells what an answer of the backend server means.
+    /// Returns what a backend server's answer means for the call.
     fn answer_meaning(
         &self,
         head: &CallHead,
@@ -87,17 +87,17 @@
         headers: &HeaderMap,
     ) -> AnswerMeaning;
 
-    /// Reads what a backend server says of itself with an answer.
+    /// Reads the backend server's notice from an answer.
     fn read_notice(&self, _: &HeaderMap) -> Notice {
         Notice::default()
     }
 
-    /// Returns the status by which a refusal is told to the caller.
+    /// Returns the status of the response to a refused caller.
     fn refusal_status(&self, refusal: &Refusal) -> StatusCode;
 
-    /// Writes how long a refused caller should stay away.
+    /// Formats the time after which a refused caller may retry.
     fn format_retry_after(&self, time: Duration) -> String;
 
-    /// Adds what identifies the call to an answer.
+    /// Adds the headers that identify the call to an answer.
     fn add_call_id(&self, headers: &mut HeaderMap, call: CallId, request: &HeaderMap);
 }
--- a/src/call/reason.rs
+++ b/src/call/reason.rs
@@ -1,4 +1,4 @@
-//! Why a call has no answer of a backend server.
+//! Reasons for a refusal.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,50 +9,50 @@
 use crate::policy::admission::Shed;
 use crate::policy::once::OnceRefusal;
 
-/// Why a call has no answer of a backend server.
+/// Why a call was refused, that is, has no answer of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// It was shed.
     Shed(Shed),
-    /// It must run at most once, and that could not be ensured.
+    /// It is a once call, and running at most once could not be ensured.
     Once(OnceRefusal),
     /// The call is not well formed.
     BadRequest,
-    /// The body is larger than is taken.
+    /// The body exceeds the maximum size.
     TooLarge,
-    /// The body ended before its end.
+    /// The body was incomplete.
     IncompleteRequest,
     /// No such service is declared.
     NoSuchService,
-    /// No workspace has the caller's key, or it sent none.
+    /// The caller sent no API key, or one that belongs to no workspace.
     UnknownKey,
-    /// The workspace has made all requests that it may make for now.
+    /// The workspace has reached its request rate.
     OverRate,
     /// The caller may not use this class.
     Forbidden,
-    /// The chain of calls is too deep.
+    /// The call tree is too deep.
     TooDeep,
     /// The daemon has no configuration yet.
     NoConfig,
     /// No backend server of the service can be reached.
     Unreachable,
-    /// The backend server itself refused it without running it.
+    /// The backend server refused it without running it.
     Rejected,
-    /// The instance that was meant has been replaced by another.
+    /// A new run has replaced the daemon or backend server that it was sent to.
     Replaced,
-    /// The connection was lost before the answer was whole.
+    /// The connection was lost before the answer was complete.
     IncompleteAnswer,
     /// The backend server crashed while it ran the call.
     Crashed,
-    /// The answer made no sense.
+    /// The answer was invalid.
     InvalidAnswer,
-    /// It crashes the backend servers that run it.
+    /// It is quarantined because backend servers crash when they run it.
     QueryOfDeath,
     /// The deadline passed.
     Timeout,
 }
 
-const PLAIN: [Reason; 17] = [
+const PLAIN_REASONS: [Reason; 17] = [
     Reason::BadRequest,
     Reason::TooLarge,
     Reason::IncompleteRequest,
@@ -72,7 +72,7 @@
     Reason::Timeout,
 ];
 
-const SHED: [Shed; 6] = [
+const SHED_REASONS: [Shed; 6] = [
     Shed::Overload,
     Shed::Limited,
     Shed::Downstream,
@@ -81,7 +81,7 @@
     Shed::Leaving,
 ];
 
-const ONCE: [OnceRefusal; 11] = [
+const ONCE_REASONS: [OnceRefusal; 11] = [
     OnceRefusal::NotOwned,
     OnceRefusal::OwnerLost,
     OnceRefusal::OwnerUnreachable,
@@ -96,11 +96,11 @@
 ];
 
 impl Reason {
-    /// Returns the text that stands in answers, logs and metrics.
+    /// Returns the name used in answers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Shed(shed) => shed.as_str(),
-            Self::Once(refuse) => refuse.as_str(),
+            Self::Once(refusal) => refusal.as_str(),
             Self::BadRequest => "bad-request",
             Self::TooLarge => "body-too-large",
             Self::IncompleteRequest => "request-cut",
@@ -150,13 +150,13 @@
         }
     }
 
-    /// Tells whether the cause is that there is more work than capacity.
+    /// Returns whether the cause is overload.
     pub const fn is_overload(self) -> bool {
         matches!(self, Self::Shed(shed) if shed.is_overload())
     }
 
-    /// Tells whether the cause lies with neither the request nor its caller, so
-    /// that the same request may fare better later.
+    /// Returns whether the same request may succeed later, since neither the request
+    /// nor its caller is at fault.
     pub const fn is_transient(self) -> bool {
         matches!(
             self,
@@ -169,12 +169,12 @@
         )
     }
 
-    /// Tells whether nothing was heard of the other side.
+    /// Returns whether the other side sent no complete answer.
     pub const fn is_no_response(self) -> bool {
         matches!(self, Self::Unreachable | Self::IncompleteAnswer)
     }
 
-    /// Tells whether another attempt elsewhere may fare better.
+    /// Returns whether an attempt at another backend server may succeed.
     pub const fn may_succeed_elsewhere(self) -> bool {
         matches!(
             self,
@@ -200,13 +200,13 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let shed = SHED.into_iter().map(Self::Shed);
-        let once = ONCE.into_iter().map(Self::Once);
-        PLAIN
+        let shed = SHED_REASONS.into_iter().map(Self::Shed);
+        let once = ONCE_REASONS.into_iter().map(Self::Once);
+        PLAIN_REASONS
             .into_iter()
             .chain(shed)
             .chain(once)
             .find(|reason| reason.as_str() == text)
-            .ok_or_else(|| Error::value("reason", format!("\"{text}\" is not known")))
+            .ok_or_else(|| Error::value("reason", format!("\"{text}\" is unknown")))
     }
 }
--- a/src/call/refusal.rs
+++ b/src/call/refusal.rs
@@ -1,37 +1,37 @@
-//! What a caller is told in place of a backend server's answer.
+//! Refusals, which take the place of a backend server's answer.
 
 use std::time::Duration;
 
 use super::Reason;
 use crate::model::{CrashId, GuardStatus, Retries, Verdict};
 
-/// What a verdict of `not-run` speaks of, where a call bears a key.
+/// What a verdict of `not-run` applies to if the call has an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerdictScope {
     /// This attempt; an earlier one with the same key may have run.
     Attempt,
-    /// The key as a whole, by the only instance that may start it.
+    /// All attempts with the key, as stated by the only instance that may start it.
     Key,
 }
 
 /// A call without an answer of a backend server.
 ///
-/// Only an [`Attempt`](super::Attempt) makes one, since only it knows whether
-/// the call was passed on; so `not-run` cannot be said of a call that was.
+/// Only an [`Attempt`](super::Attempt) creates one, because only it knows whether
+/// the call was sent. So a sent call can't be reported as `not-run` by mistake.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     verdict: Verdict,
     reason: Reason,
     scope: VerdictScope,
-    /// More on the cause, for people.
+    /// Human-readable detail of the cause, possibly empty.
     pub detail: Box<str>,
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Retries that come home.
+    /// Unused retries of the grant.
     pub returned_retries: Retries,
-    /// What the guard tells of itself, if one was reached.
+    /// The status of the guard, if one was reached.
     pub guard_status: Option<GuardStatus>,
-    /// The crash that the call was under way at, if its server crashed.
+    /// The crash during which the call was in flight, if its server crashed.
     pub crash: Option<CrashId>,
 }
 
@@ -59,28 +59,27 @@
         self.reason
     }
 
-    /// Tells whether a backend server may have seen the call.
+    /// Returns whether the call may have reached a backend server.
     pub fn may_have_arrived(&self) -> bool {
         self.verdict != Verdict::NotRun || self.reason == Reason::Rejected
     }
 
-    /// Returns what a verdict of `not-run` speaks of.
+    /// Returns what a verdict of `not-run` applies to.
     pub fn scope(&self) -> VerdictScope {
         self.scope
     }
 
-    /// Marks the refusal as speaking of the key as a whole.
+    /// Extends the verdict to all attempts with the key.
     ///
-    /// Only for the instance that may start the key and knows that it has not,
-    /// or by a home row read after the call arrived.
+    /// Only for the instance that may start the key and knows that it has not, or
+    /// on the evidence of an ownership row read after the call arrived.
     #[must_use]
     pub fn with_key_scope(mut self) -> Self {
         self.scope = VerdictScope::Key;
         self
     }
 
-    /// Weakens the verdict where an earlier attempt at the same call may have
-    /// run.
+    /// Replaces a verdict of `not-run` by that of an earlier attempt at the call.
     #[must_use]
     pub fn with_earlier(mut self, earlier: Verdict) -> Self {
         if self.verdict == Verdict::NotRun {
--- a/src/call/reply.rs
+++ b/src/call/reply.rs
@@ -1,24 +1,24 @@
-//! A backend server's answer on its way back.
+//! A backend server's answer as guard and entry pass it back.
 
 use http::{HeaderMap, StatusCode};
 
 use crate::model::{GuardStatus, Retries};
 use crate::web::Payload;
 
-/// What travels with an answer besides its body.
+/// All that is sent with an answer except its body.
 #[derive(Clone, Debug)]
 pub struct ReplyHead {
     /// The status.
     pub status: StatusCode,
     /// The headers for the caller.
     pub headers: HeaderMap,
-    /// Retries that come home.
+    /// Unused retries of the grant.
     pub returned_retries: Retries,
-    /// What the guard tells of itself.
+    /// The status of the guard.
     pub guard_status: GuardStatus,
-    /// Whether the backend server made calls onwards for it.
+    /// Whether the backend server made onward calls for it.
     pub made_calls: bool,
-    /// Whether the answer was kept from an earlier run of the same key.
+    /// Whether it is the stored answer of an earlier run with the same key.
     pub from_store: bool,
 }
 
