--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -1,34 +1,34 @@
-//! What a caller receives.
+//! Answers to callers.
 
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
 
-use super::header::{REASON, TICKET, VERDICT};
+use super::header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
 use crate::call::{Protocol, Refusal, Reply, strip_hop_headers};
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
-/// Marks an answer that was kept from an earlier run of the same key.
-const KEPT: HeaderName = HeaderName::from_static("bramleymount-kept");
+/// Marks an answer that was stored by an earlier run of the same key.
+const STORED_ANSWER_HEADER: HeaderName = HeaderName::from_static("bramleymount-kept");
 
-/// Makes the answers to one request.
-pub(super) struct Answering<'r> {
+/// Builds the answers to one request.
+pub(super) struct AnswerBuilder<'r> {
     protocol: &'r dyn Protocol,
     request: &'r HeaderMap,
 }
 
-impl<'r> Answering<'r> {
-    /// Prepares to answer a request with these headers.
+impl<'r> AnswerBuilder<'r> {
+    /// Creates a builder for a request with the given headers.
     pub(super) fn new(protocol: &'r dyn Protocol, request: &'r HeaderMap) -> Self {
         Self { protocol, request }
     }
 
-    /// Returns the id by which the caller knows the request.
+    /// Returns the caller's id of the request.
     pub(super) fn id(&self) -> &'r str {
         self.protocol.request_id(self.request)
     }
 
-    /// Gives the backend server's own answer.
+    /// Builds the answer of the backend server.
     pub(super) fn reply(&self, call: CallId, reply: Reply) -> CallerAnswer {
         let Reply { head, body } = reply;
         let streamed = matches!(body, Payload::Stream { .. });
@@ -39,14 +39,14 @@
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
         if head.from_store {
-            put(&mut answer, KEPT, "true");
+            insert_header(&mut answer, STORED_ANSWER_HEADER, "true");
         }
         self.protocol
             .add_call_id(answer.headers_mut(), call, self.request);
         answer
     }
 
-    /// Says why there is no answer, and what that means.
+    /// Builds a refusal, with its reason and whether the call may have run.
     pub(super) fn refusal(
         &self,
         call: Option<CallId>,
@@ -63,14 +63,14 @@
         text.push('\n');
         let status = self.protocol.refusal_status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
-        put(&mut answer, VERDICT, verdict.as_str());
-        put(&mut answer, REASON, reason.as_str());
+        insert_header(&mut answer, VERDICT_HEADER, verdict.as_str());
+        insert_header(&mut answer, REASON_HEADER, reason.as_str());
         if let Some(call) = call {
             self.protocol
                 .add_call_id(answer.headers_mut(), call, self.request);
         }
         if let Some(after) = refusal.retry_after {
-            put(
+            insert_header(
                 &mut answer,
                 RETRY_AFTER,
                 &self.protocol.format_retry_after(after),
@@ -79,13 +79,13 @@
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
         {
-            put(&mut answer, TICKET, &ticket.to_string());
+            insert_header(&mut answer, TICKET_HEADER, &ticket.to_string());
         }
         answer
     }
 }
 
-fn put(answer: &mut CallerAnswer, name: HeaderName, value: &str) {
+fn insert_header(answer: &mut CallerAnswer, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer.headers_mut().insert(name, value);
     }
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! The entry of one daemon.
+//! The entry of one daemon: handling of requests from arrival to answer.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use rand::Rng;
 use tokio::time::{Instant, timeout_at};
 
-use super::accept::{Accepted, accept};
-use super::answer::Answering;
+use super::accept::{AcceptedRequest, accept};
+use super::answer::AnswerBuilder;
 use super::arrival::Arrival;
-use super::body::{BodyError, receive};
+use super::body::{BodyError, read_body};
 use super::context::Context;
-use super::forward::{Ended, Forward};
-use super::place::host;
+use super::forward::{CallOutcome, ForwardedCall};
+use super::route_match::request_host;
 use crate::call::{Attempt, Reason, Refusal};
 use crate::guard::Guard;
 use crate::metrics::Ending;
@@ -29,113 +29,128 @@
 use crate::policy::once::OnceRefusal;
 use crate::policy::retry::RepeatDetector;
 use crate::policy::route::TargetState;
-use crate::tables::{Detail, Shared, Step};
+use crate::tables::{CallStep, Shared, StepDetail};
 use crate::web::{CallerAnswer, Payload};
 
-/// The name in metrics of callers and classes that are not declared.
-const OTHER: &str = "other";
+/// Metric label of callers and classes that are not declared.
+const OTHER_LABEL: &str = "other";
 
-/// How long after the deadline the word of the guard is waited for, which may
-/// say that the call has not run.
-const LAST_WORD: Duration = Duration::from_millis(50);
+/// How long after the deadline the entry waits for the guard, which may still
+/// report that the call has not run.
+const VERDICT_GRACE: Duration = Duration::from_millis(50);
 
-/// Takes calls and brings back their answers.
+/// Accepts requests of callers, forwards them and returns the answers.
 pub struct Entry {
     pub(super) context: Context,
-    repeats: Mutex<RepeatDetector>,
+    repeat_detector: Mutex<RepeatDetector>,
     in_flight: AtomicUsize,
     closed: AtomicBool,
 }
 
 impl Entry {
-    /// Makes the entry of a daemon.
+    /// Creates the entry of a daemon.
     pub fn new(shared: Arc<Shared>, guard: Arc<Guard>, pool: Arc<Pool>) -> Arc<Self> {
         Arc::new(Self {
             context: Context::new(shared, guard, pool),
-            repeats: Mutex::default(),
+            repeat_detector: Mutex::default(),
             in_flight: AtomicUsize::new(0),
             closed: AtomicBool::new(false),
         })
     }
 
-    /// Returns the number of calls under way.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Refuses all new calls of callers from now on; onward calls of calls
-    /// that the backend server still works on are taken.
+    /// Refuses new calls of callers from now on. Onward calls of parent calls
+    /// that are still running are accepted.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether new calls of callers are refused.
+    /// Returns whether new calls of callers are refused.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Serves a request; it is dropped when the caller leaves.
+    /// Handles a request. The future is dropped if the caller disconnects.
     pub(super) async fn handle(self: Arc<Self>, arrival: Arrival, from: IpAddr) -> CallerAnswer {
-        let _counted = Counted::new(&self.in_flight);
+        let _in_flight = InFlightCount::new(&self.in_flight);
         let shared = &self.context.shared;
-        let Arrival { parts, body, came } = arrival;
-        let answering = Answering::new(&*shared.protocol, &parts.headers);
-        let mut accepted = match self.accept(&parts, came, from) {
+        let Arrival {
+            parts,
+            body,
+            arrived_at,
+        } = arrival;
+        let answers = AnswerBuilder::new(&*shared.protocol, &parts.headers);
+        let mut accepted = match self.accept(&parts, arrived_at, from) {
             Ok(accepted) => accepted,
             Err(mut refusal) => {
-                self.note_rejected(answering.id(), &refusal);
-                self.context.advise(&mut refusal);
-                return answering.refusal(None, &refusal, None);
+                self.record_rejected(answers.id(), &refusal);
+                self.context.add_retry_after(&mut refusal);
+                return answers.refusal(None, &refusal, None);
             }
         };
         let call = accepted.head.call;
-        shared.journal.note(call, Step::Entered, Detail::None);
-        let ended = self.run_paid(&mut accepted, &parts, body).await;
-        self.record(&accepted, &ended, came.elapsed());
-        self.explain_end(answering.id(), &accepted, &ended, came.elapsed());
-        match ended.result {
+        shared
+            .journal
+            .record(call, CallStep::Entered, StepDetail::None);
+        let outcome = self.run_within_rate(&mut accepted, &parts, body).await;
+        self.record_metrics(&accepted, &outcome, arrived_at.elapsed());
+        self.log_failure(answers.id(), &accepted, &outcome, arrived_at.elapsed());
+        match outcome.result {
             Ok(reply) => {
-                shared
-                    .journal
-                    .note(call, Step::Answered, Detail::Status(reply.head.status));
-                answering.reply(call, reply)
+                shared.journal.record(
+                    call,
+                    CallStep::Answered,
+                    StepDetail::Status(reply.head.status),
+                );
+                answers.reply(call, reply)
             }
             Err(mut refusal) => {
                 self.context.set_backoff(&accepted, &mut refusal);
-                self.context.advise(&mut refusal);
-                shared
-                    .journal
-                    .note(call, Step::Refused, Detail::Word(refusal.reason().as_str()));
-                let ticket = self.ticket(&accepted, &refusal);
-                answering.refusal(Some(call), &refusal, ticket.as_ref())
+                self.context.add_retry_after(&mut refusal);
+                shared.journal.record(
+                    call,
+                    CallStep::Refused,
+                    StepDetail::Word(refusal.reason().as_str()),
+                );
+                let ticket = self.replacement_ticket(&accepted, &refusal);
+                answers.refusal(Some(call), &refusal, ticket.as_ref())
             }
         }
     }
 
-    fn accept(&self, parts: &Parts, came: Instant, from: IpAddr) -> Result<Accepted, Refusal> {
+    fn accept(
+        &self,
+        parts: &Parts,
+        arrived_at: Instant,
+        from: IpAddr,
+    ) -> Result<AcceptedRequest, Refusal> {
         let attempt = Attempt::plan();
         let shared = &self.context.shared;
-        let Some(in_force) = shared.current.get() else {
-            return Err(attempt.refuse(Reason::NoConfig, "no configuration was applied yet"));
+        let Some(configuration) = shared.current.get() else {
+            return Err(attempt.refuse(Reason::NoConfig, "no configuration has been applied yet"));
         };
-        let mut accepted = accept(parts, came, from, &in_force.estate, shared)
+        let mut accepted = accept(parts, arrived_at, from, &configuration.estate, shared)
             .map_err(|rejected| Attempt::plan().refuse(rejected.reason, rejected.detail))?;
         if self.is_closed() && accepted.parent.is_none() {
-            return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon stops"));
+            return Err(attempt.refuse(Reason::Shed(Shed::Leaving), "this daemon is shutting down"));
         }
-        self.context.boost_returning(&mut accepted);
+        self.context.boost_retry(&mut accepted);
         Ok(accepted)
     }
 
-    fn note_rejected(&self, id: &str, refusal: &Refusal) {
+    fn record_rejected(&self, id: &str, refusal: &Refusal) {
         let shared = &self.context.shared;
         let reason = refusal.reason().as_str();
         shared.metrics.count_reason("rejected", reason);
         shared
             .metrics
-            .ended(OTHER, OTHER, Ending::Failed, Duration::ZERO, 0);
-        if shared.decisions.may_log() {
-            spdlog::info!("request not taken", kv: {
+            .ended(OTHER_LABEL, OTHER_LABEL, Ending::Failed, Duration::ZERO, 0);
+        if shared.log_limiter.try_take() {
+            spdlog::info!("request rejected", kv: {
                 request = id,
                 outcome = reason,
                 detail = &*refusal.detail,
@@ -144,55 +159,65 @@
         }
     }
 
-    /// Runs a request within the rate of its workspace.
-    async fn run_paid(
+    /// Runs a request if the rate limit of its workspace allows it.
+    async fn run_within_rate(
         &self,
-        accepted: &mut Accepted,
+        accepted: &mut AcceptedRequest,
         parts: &Parts,
         body: Option<Incoming>,
-    ) -> Ended {
-        let paid = match self.context.pay(accepted).await {
-            Ok(paid) => paid,
+    ) -> CallOutcome {
+        let charge = match self.context.charge_credit(accepted).await {
+            Ok(charge) => charge,
             Err(refusal) => {
-                return Ended {
+                return CallOutcome {
                     result: Err(refusal),
                     retries: 0,
                     targets: Box::default(),
                 };
             }
         };
-        let ended = self.run(accepted, parts, body).await;
-        let ran = match &ended.result {
+        let outcome = self.run(accepted, parts, body).await;
+        let may_have_run = match &outcome.result {
             Ok(_) => true,
             Err(refusal) => refusal.verdict() != Verdict::NotRun,
         };
-        if let (false, Some(paid)) = (ran, paid) {
-            paid.give_back();
+        if let (false, Some(charge)) = (may_have_run, charge) {
+            charge.refund();
         }
-        ended
+        outcome
     }
 
-    async fn run(&self, accepted: &mut Accepted, parts: &Parts, body: Option<Incoming>) -> Ended {
-        let refused = |reason| Ended {
+    async fn run(
+        &self,
+        accepted: &mut AcceptedRequest,
+        parts: &Parts,
+        body: Option<Incoming>,
+    ) -> CallOutcome {
+        let refused = |reason| CallOutcome {
             result: Err(Attempt::plan().refuse(reason, "")),
             retries: 0,
             targets: Box::default(),
         };
-        let hold = accepted.head.once.is_some();
+        let must_buffer = accepted.head.once.is_some();
         let deadline = accepted.head.deadline;
-        let body = match timeout_at(deadline, receive(&parts.headers, body, hold)).await {
+        let body = match timeout_at(deadline, read_body(&parts.headers, body, must_buffer)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::TooLarge)) => return refused(Reason::TooLarge),
-            Ok(Err(BodyError::Cut)) => return refused(Reason::IncompleteRequest),
+            Ok(Err(BodyError::Truncated)) => return refused(Reason::IncompleteRequest),
             Err(_) => return refused(Reason::Shed(Shed::Deadline)),
         };
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
-        self.note_repeat(accepted);
-        let latest = accepted.head.deadline + LAST_WORD;
-        // Made in place: a future that is named first is kept twice.
-        match timeout_at(latest, Forward::new(&self.context, accepted).run(body)).await {
-            Ok(ended) => ended,
-            Err(_) => Ended {
+        self.count_repeat(accepted);
+        let latest = accepted.head.deadline + VERDICT_GRACE;
+        // Built inline: a future bound to a variable first would be stored twice.
+        match timeout_at(
+            latest,
+            ForwardedCall::new(&self.context, accepted).run(body),
+        )
+        .await
+        {
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome {
                 result: Err(Attempt::plan().mark_sent().abandon(Reason::Timeout, "")),
                 retries: 0,
                 targets: Box::default(),
@@ -200,68 +225,81 @@
         }
     }
 
-    /// Returns what a request asks for and who asks, unless its body is yet to
-    /// come.
+    /// Returns the fingerprint of a request and its caller, unless the body is
+    /// streamed.
     fn fingerprint(
         &self,
-        accepted: &Accepted,
+        accepted: &AcceptedRequest,
         parts: &Parts,
         body: &Payload,
     ) -> Option<Fingerprint> {
         let Payload::Whole(body) = body else {
             return None;
         };
-        let asked = RequestContent {
+        let request = RequestContent {
             method: &parts.method,
-            host: host(parts),
+            host: request_host(parts),
             target: &accepted.head.target,
             body,
         };
-        // A workspace is the same caller at whichever VM it asks.
-        let workspace = accepted.workspace.as_ref().map(|of| of.name.as_str());
+        // A workspace is the same caller, whichever VM sends the request.
+        let workspace = accepted
+            .workspace
+            .as_ref()
+            .map(|workspace| workspace.name.as_str());
         let caller = accepted.caller.as_ref().map(CallerName::as_str);
         let origin = self.context.shared.config.service.as_str();
-        let asks = workspace.or(caller).unwrap_or(origin);
-        Some(Fingerprint::of(asked, asks))
+        let caller_id = workspace.or(caller).unwrap_or(origin);
+        Some(Fingerprint::of(request, caller_id))
     }
 
-    fn note_repeat(&self, accepted: &Accepted) {
+    fn count_repeat(&self, accepted: &AcceptedRequest) {
         let key = accepted.head.once.as_ref().map(|once| once.key.hash());
-        if self.repeats.lock().check(accepted.count, key) {
+        if self
+            .repeat_detector
+            .lock()
+            .check(accepted.attempt_number, key)
+        {
             self.context.shared.metrics.count("repeats");
         }
     }
 
-    fn record(&self, accepted: &Accepted, ended: &Ended, latency: Duration) {
-        let ending = match &ended.result {
+    fn record_metrics(&self, accepted: &AcceptedRequest, outcome: &CallOutcome, latency: Duration) {
+        let ending = match &outcome.result {
             Ok(_) => Ending::Whole,
             Err(refusal) if matches!(refusal.reason(), Reason::Shed(_)) => Ending::Shed,
             Err(_) => Ending::Failed,
         };
         let metrics = &self.context.shared.metrics;
-        if let Err(refusal) = &ended.result {
+        if let Err(refusal) = &outcome.result {
             let reason = refusal.reason().as_str();
             metrics.count_reason("refused", reason);
             let verdict = refusal.verdict().as_str();
             metrics.count_reason("verdict", verdict);
         }
         let class = accepted.head.class.as_str();
-        let caller = accepted.caller.as_ref().map_or(OTHER, |c| c.as_str());
-        metrics.ended(class, caller, ending, latency, ended.retries);
+        let caller = accepted.caller.as_ref().map_or(OTHER_LABEL, |c| c.as_str());
+        metrics.ended(class, caller, ending, latency, outcome.retries);
     }
 
-    /// Logs how a call ended that was not answered well.
-    fn explain_end(&self, id: &str, accepted: &Accepted, ended: &Ended, took: Duration) {
+    /// Logs a call that was refused or answered with a server error.
+    fn log_failure(
+        &self,
+        id: &str,
+        accepted: &AcceptedRequest,
+        call_outcome: &CallOutcome,
+        latency: Duration,
+    ) {
         let shared = &self.context.shared;
-        let failed = match &ended.result {
+        let is_failure = match &call_outcome.result {
             Ok(reply) => reply.head.status.is_server_error(),
             Err(_) => true,
         };
-        if !failed || !shared.decisions.may_log() {
+        if !is_failure || !shared.log_limiter.try_take() {
             return;
         }
         let head = &accepted.head;
-        let (outcome, verdict, detail) = match &ended.result {
+        let (outcome, verdict, detail) = match &call_outcome.result {
             Ok(reply) => ("server-failed", "ran", reply.head.status.as_str().into()),
             Err(refusal) => (
                 refusal.reason().as_str(),
@@ -269,11 +307,18 @@
                 refusal.detail.clone(),
             ),
         };
-        let left = head.deadline.saturating_duration_since(Instant::now());
-        let targets: Vec<String> = ended.targets.iter().map(ToString::to_string).collect();
+        let time_left = head.deadline.saturating_duration_since(Instant::now());
+        let targets: Vec<String> = call_outcome
+            .targets
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         let targets = targets.join(" ");
-        let asks = head.fingerprint.map(|asks| asks.to_string());
-        let workspace = accepted.workspace.as_ref().map(|of| of.name.as_str());
+        let fingerprint = head.fingerprint.map(|digest| digest.to_string());
+        let workspace = accepted
+            .workspace
+            .as_ref()
+            .map(|workspace| workspace.name.as_str());
         spdlog::info!("call failed", kv: {
             request = id,
             call = head.call.to_string().as_str(),
@@ -284,28 +329,28 @@
             outcome,
             verdict,
             detail = &*detail,
-            asks = asks.as_deref().unwrap_or_default(),
+            asks = fingerprint.as_deref().unwrap_or_default(),
             targets = targets.as_str(),
-            retries = ended.retries,
-            took_ms = took.as_millis() as u64,
-            left_ms = left.as_millis() as u64,
+            retries = call_outcome.retries,
+            took_ms = latency.as_millis() as u64,
+            left_ms = time_left.as_millis() as u64,
             version = shared.current.version().get()
         });
     }
 
-    /// Offers a key that can be used now, where the one that was sent cannot.
-    fn ticket(&self, accepted: &Accepted, refusal: &Refusal) -> Option<OnceKey> {
+    /// Returns a key that can be used now if the key of the request can't.
+    fn replacement_ticket(&self, accepted: &AcceptedRequest, refusal: &Refusal) -> Option<OnceKey> {
         match refusal.reason() {
             Reason::Once(OnceRefusal::NotOwned | OnceRefusal::NoPlatform) => {
-                self.issue(&accepted.head.service)
+                self.issue_ticket(&accepted.head.service)
             }
             _ => None,
         }
     }
 
-    /// Issues a key bound to an instance of the service that takes calls.
-    pub fn issue(&self, service: &ServiceName) -> Option<OnceKey> {
-        let table = self.context.shared.routes.table(service);
+    /// Issues a key bound to a serving instance of the service.
+    pub fn issue_ticket(&self, service: &ServiceName) -> Option<OnceKey> {
+        let table = self.context.shared.targets.table(service);
         let table = table.lock();
         let serving: Vec<_> = table
             .targets()
@@ -315,27 +360,27 @@
         if serving.is_empty() {
             return None;
         }
-        let place = rand::rng().random_range(0..serving.len());
-        Some(OnceKey::ticket(serving[place]))
+        let index = rand::rng().random_range(0..serving.len());
+        Some(OnceKey::ticket(serving[index]))
     }
 
-    /// Returns the call ids that this entry has notes on.
-    pub fn explain(&self, call: CallId) -> Vec<crate::tables::Note> {
+    /// Returns the notes on a call in the journal of this daemon.
+    pub fn explain(&self, call: CallId) -> Vec<crate::tables::JournalEntry> {
         self.context.shared.journal.find(call)
     }
 }
 
-/// Counts a call while it is under way.
-struct Counted<'e>(&'e AtomicUsize);
+/// Counts a call as in flight until it is dropped.
+struct InFlightCount<'e>(&'e AtomicUsize);
 
-impl<'e> Counted<'e> {
+impl<'e> InFlightCount<'e> {
     fn new(count: &'e AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightCount<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -1,32 +1,33 @@
-//! What only calls that must run at most once need: their home, and asking what
-//! became of them.
+//! Calls that must run at most once: finding the owner of their key, and asking
+//! for the outcome of a lost call.
 
 use tokio::time::Instant;
 
-use super::forward::Forward;
+use super::forward::ForwardedCall;
 use crate::call::{Attempt, Reason, Refusal, Reply};
 use crate::model::{Instance, OnceKey, Verdict};
 use crate::peer;
 use crate::policy::once::{Destination, OnceRefusal, destination};
-use crate::task::read_home;
+use crate::task::read_ownership;
 
-impl Forward<'_> {
-    /// Reads the home row anew if nobody owns the key by the row known here.
+impl ForwardedCall<'_> {
+    /// Reads the ownership row again if the known row names no owner of the key.
     ///
     /// # Errors
     ///
-    /// If nobody owns it by the row just read either, nobody can have run it.
-    pub(super) async fn refresh_home(&self) -> Result<(), Refusal> {
+    /// Refuses the call if the new row names no owner either: then no instance can
+    /// have run it.
+    pub(super) async fn refresh_ownership(&self) -> Result<(), Refusal> {
         let Some(once) = &self.head().once else {
             return Ok(());
         };
         let not_owned = Destination::Refused(OnceRefusal::NotOwned);
-        if self.place(&once.key) != not_owned || !self.context.may_read_home() {
+        if self.destination(&once.key) != not_owned || !self.context.may_read_ownership() {
             return Ok(());
         }
         let service = &self.head().service;
-        if !Box::pin(read_home(&self.context.shared, service)).await
-            || self.place(&once.key) != not_owned
+        if !Box::pin(read_ownership(&self.context.shared, service)).await
+            || self.destination(&once.key) != not_owned
         {
             return Ok(());
         }
@@ -35,17 +36,22 @@
             .with_key_scope())
     }
 
-    pub(super) fn place(&self, key: &OnceKey) -> Destination {
+    pub(super) fn destination(&self, key: &OnceKey) -> Destination {
         let shared = &self.context.shared;
         let service = &self.head().service;
         let view = shared.view.lock();
-        let home = shared.homes.get(service);
-        destination(key, home.as_ref().map(|home| &*home.row), &view, service)
+        let ownership = shared.ownership.get(service);
+        destination(
+            key,
+            ownership.as_ref().map(|ownership| &*ownership.row),
+            &view,
+            service,
+        )
     }
 
-    /// Counts an attempt as sent to the only instance that may take it, unless
-    /// that has failed too often just now.
-    pub(super) fn may_reach(&self, instance: Instance) -> bool {
+    /// Returns whether an attempt may be sent to the owner of the key, and counts
+    /// it as sent. An owner that failed too often recently gets no attempts.
+    pub(super) fn try_record_sent(&self, instance: Instance) -> bool {
         let now = Instant::now();
         self.table(|table| {
             let admits = table.admits(now, instance);
@@ -56,9 +62,9 @@
         })
     }
 
-    /// Asks the same instance what became of a once call that was lost, and
-    /// follows a claim to the instance that holds it.
-    pub(super) async fn after_once(
+    /// Asks the same instance for the outcome of a lost once call, and follows a
+    /// claim to the owner that it names.
+    pub(super) async fn resolve_once(
         &mut self,
         target: Instance,
         failed: Refusal,
@@ -67,7 +73,7 @@
             return Err(failed);
         };
         if failed.reason() == Reason::Once(OnceRefusal::WrongOwner) {
-            return Box::pin(self.follow(&once.key, failed)).await;
+            return Box::pin(self.follow_claim(&once.key, failed)).await;
         }
         let lost = matches!(
             failed.reason(),
@@ -76,10 +82,10 @@
         if !lost || failed.verdict() != Verdict::MayHaveRun {
             return Err(failed);
         }
-        let asked = Box::pin(self.inquire(target, &once.key)).await;
-        match asked {
-            Err(answer) if answer.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
-            Err(answer) => Err(answer.with_earlier(Verdict::MayHaveRun)),
+        let inquiry = Box::pin(self.inquire(target, &once.key)).await;
+        match inquiry {
+            Err(refusal) if refusal.reason() == Reason::Once(OnceRefusal::Unseen) => Err(failed),
+            Err(refusal) => Err(refusal.with_earlier(Verdict::MayHaveRun)),
             other => other,
         }
     }
@@ -90,14 +96,14 @@
         peer::inquire(pool, target, &head.service, key, head.deadline).await
     }
 
-    /// Learns the outcome from the instance that a claim names.
-    async fn follow(&self, key: &OnceKey, failed: Refusal) -> Result<Reply, Refusal> {
+    /// Asks the owner that a claim names for the outcome.
+    async fn follow_claim(&self, key: &OnceKey, failed: Refusal) -> Result<Reply, Refusal> {
         let Ok(owner) = failed.detail.parse::<Instance>() else {
             return Err(failed);
         };
         match self.inquire(owner, key).await {
             Ok(reply) => Ok(reply),
-            Err(answer) => Err(answer.with_earlier(Verdict::MayHaveRun)),
+            Err(refusal) => Err(refusal.with_earlier(Verdict::MayHaveRun)),
         }
     }
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Serving of callers by HTTP.
+//! HTTP service for callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 
 use super::Entry;
 use super::arrival::Arrival;
-use super::place::may_repeat;
+use super::route_match::may_repeat;
 use crate::error::Error;
 use crate::web::{Listening, Serve, Work, listen_ahead};
 
-/// Serves callers by HTTP.
+/// Serves callers over HTTP.
 ///
 /// # Errors
 ///
@@ -22,51 +22,66 @@
 pub async fn serve_callers(entry: Arc<Entry>) -> Result<Listening, Error> {
     let config = &entry.context.shared.config;
     let (address, ahead) = (config.listen.callers, config.ahead);
-    listen_ahead(address, ahead, Callers(entry)).await
+    listen_ahead(address, ahead, CallerService(entry)).await
 }
 
-/// The requests of callers.
+/// Handles the requests of callers.
 #[derive(Clone)]
-struct Callers(Arc<Entry>);
+struct CallerService(Arc<Entry>);
 
-impl Callers {
-    /// Tells whether a request may be begun before those in front of it are
-    /// answered: one that is dropped unanswered is sent again.
-    fn may_begin(&self, parts: &Parts) -> bool {
-        let in_force = self.0.context.shared.current.get();
-        let may_repeat = in_force.is_some_and(|rules| may_repeat(parts, &rules.estate));
+impl CallerService {
+    /// Returns whether a pipelined request may start before earlier ones are
+    /// answered. The caller sends it again if it is dropped without an answer, so
+    /// it must be safe to repeat.
+    fn may_start(&self, parts: &Parts) -> bool {
+        let configuration = self.0.context.shared.current.get();
+        let may_repeat = configuration.is_some_and(|current| may_repeat(parts, &current.estate));
         may_repeat && !self.0.is_closed()
     }
 
-    /// Counts a request that is begun, and logs it.
-    fn note_begun(&self, parts: &Parts) {
+    /// Counts and logs a pipelined request that is started early.
+    fn record_started(&self, parts: &Parts) {
         let shared = &self.0.context.shared;
         shared.metrics.count("begun_ahead");
-        if shared.decisions.may_log() {
+        if shared.log_limiter.try_take() {
             let request = shared.protocol.request_id(&parts.headers);
-            spdlog::info!("request begun ahead", kv: { request });
+            spdlog::info!("pipelined request started early", kv: { request });
         }
     }
 
-    fn work(&self, arrival: Arrival, from: SocketAddr) -> Work {
-        // Put on the heap at once: it is large, and would be copied thrice.
+    fn start(&self, arrival: Arrival, from: SocketAddr) -> Work {
+        // Boxed at once: the future is large and would be copied three times.
         Box::pin(Arc::clone(&self.0).handle(arrival, from.ip()))
     }
 }
 
-impl Serve for Callers {
-    fn serve(&self, request: Request<Incoming>, came: Instant, from: SocketAddr) -> Work {
+impl Serve for CallerService {
+    fn serve(&self, request: Request<Incoming>, arrived_at: Instant, from: SocketAddr) -> Work {
         let (parts, body) = request.into_parts();
         let body = Some(body);
-        self.work(Arrival { parts, body, came }, from)
+        self.start(
+            Arrival {
+                parts,
+                body,
+                arrived_at,
+            },
+            from,
+        )
     }
 
-    fn begin(&self, parts: Parts, came: Instant, from: SocketAddr) -> Option<Work> {
-        if !self.may_begin(&parts) {
+    fn begin(&self, parts: Parts, arrived_at: Instant, from: SocketAddr) -> Option<Work> {
+        if !self.may_start(&parts) {
             return None;
         }
-        self.note_begun(&parts);
+        self.record_started(&parts);
         let body = None;
-        Some(self.work(Arrival { parts, body, came }, from))
+        Some(self.start(
+            Arrival {
+                parts,
+                body,
+                arrived_at,
+            },
+            from,
+        ))
     }
 }
--- a/src/guard/notice.rs
+++ b/src/guard/notice.rs
@@ -1,4 +1,4 @@
-//! What the backend server says of itself with its answers.
+//! Notices that the backend server sends with its answers.
 
 use tokio::time::Instant;
 
@@ -7,21 +7,21 @@
 use crate::policy::admission::Shed;
 
 impl Guard {
-    /// Returns the run of the backend server that is present, if it said so.
+    /// Returns the current run of the backend server, if it announced itself.
     pub(super) fn run(&self) -> Option<RunId> {
         self.presence.lock().run()
     }
 
-    /// Takes what an answer to a call says that was sent at `sent`; what it
-    /// leaves out counts if it is `in_order`.
-    pub(super) fn record_notice(&self, sent_at: Instant, notice: Notice, in_order: bool) {
+    /// Records the notice in the answer to a call sent at `sent_at`; a missing rate
+    /// ends the limit only if the notice `is_complete`.
+    pub(super) fn record_notice(&self, sent_at: Instant, notice: Notice, is_complete: bool) {
         if notice.leaving
             && let Some(run) = self.run()
         {
             self.record_leaving(run);
         }
         match notice.rate {
-            RequestedRate::None if !in_order => return,
+            RequestedRate::None if !is_complete => return,
             RequestedRate::Unreadable => self.log_notice("its rate is no number", None),
             RequestedRate::None | RequestedRate::Some(_) => {}
         }
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes what an entry was told of the backend server before.
+    /// Applies a notice of the backend server that an entry relays.
     pub(super) fn apply_relayed_notice(&self, notice: RelayedNotice) {
         if self.run() != Some(notice.run) {
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns what this guard tells of itself and of its backend server.
+    /// Returns the status of this guard and the last notice of its backend server.
     pub(super) fn status(&self) -> GuardStatus {
         GuardStatus {
             notice: self.relayed_notice(),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Says more on why a call was shed, for people.
+    /// Returns a human-readable detail on why a call was shed.
     pub(super) fn detail(&self, shed: Shed) -> String {
         match (shed, self.gate.rate()) {
             (Shed::Limited, Some(rate)) => {
                 let room = self.gate.status().rate_delay.as_millis();
-                format!("its server takes {rate}, room in {room} ms")
+                format!("the server accepts {rate}, capacity in {room} ms")
             }
             _ => String::new(),
         }
@@ -77,24 +77,24 @@
         Some(RelayedNotice { run, rate, leaving })
     }
 
-    /// Sends a run nothing more that said with an answer that it leaves.
+    /// Stops sending calls to a run that announced with an answer that it leaves.
     fn record_leaving(&self, run: RunId) {
         if !self.presence.lock().record_leaving(run) {
             return;
         }
         self.drain();
-        self.shared.announced.notify_one();
+        self.shared.lease_notify.notify_one();
         self.log_notice("leaves", None);
     }
 
     fn log_notice(&self, what: &str, before: Option<Rate>) {
-        if !self.shared.decisions.may_log() {
+        if !self.shared.log_limiter.try_take() {
             return;
         }
         let text = |rate: Option<Rate>| rate.map_or("any".to_owned(), |rate| rate.to_string());
         let server = self.server();
         let load = self.gate.load();
-        spdlog::info!("backend server says of itself", kv: {
+        spdlog::info!("backend server sent a notice", kv: {
             server = server.as_ref().map_or("", |server| server.as_str()),
             what,
             takes = text(self.gate.rate()).as_str(),
--- a/src/policy/member/record.rs
+++ b/src/policy/member/record.rs
@@ -73,7 +73,7 @@
 /// The record does not contain the configuration version. If each member sent it
 /// to all others, every change would cost each daemon 90 bytes per member and
 /// neighbour: 124 KB per second at 5,300 members and 5,600 changes a day. It is
-/// queried on demand instead ([`crate::peer::version_of`]).
+/// queried on demand instead ([`crate::peer::query_version`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The daemon instance.
