--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
 
 use super::header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
-use crate::call::{Protocol, Refusal, Reply, end_to_end};
+use crate::call::{Protocol, Refusal, Reply, strip_hop_headers};
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
@@ -25,7 +25,7 @@
 
     /// Returns the caller's id of the request.
     pub(super) fn id(&self) -> &'r str {
-        self.protocol.id(self.request)
+        self.protocol.request_id(self.request)
     }
 
     /// Builds the answer of the backend server.
@@ -34,14 +34,15 @@
         let streamed = matches!(body, Payload::Stream { .. });
         let mut answer = Response::new(caller_body(body));
         *answer.status_mut() = head.status;
-        *answer.headers_mut() = end_to_end(head.headers);
+        *answer.headers_mut() = strip_hop_headers(head.headers);
         if !streamed {
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
-        if head.kept {
+        if head.from_store {
             insert_header(&mut answer, STORED_ANSWER_HEADER, "true");
         }
-        self.protocol.sign(answer.headers_mut(), call, self.request);
+        self.protocol
+            .add_call_id(answer.headers_mut(), call, self.request);
         answer
     }
 
@@ -60,15 +61,20 @@
             text.push_str(&refusal.detail);
         }
         text.push('\n');
-        let status = self.protocol.status(refusal);
+        let status = self.protocol.refusal_status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
         insert_header(&mut answer, VERDICT_HEADER, verdict.as_str());
         insert_header(&mut answer, REASON_HEADER, reason.as_str());
         if let Some(call) = call {
-            self.protocol.sign(answer.headers_mut(), call, self.request);
+            self.protocol
+                .add_call_id(answer.headers_mut(), call, self.request);
         }
         if let Some(after) = refusal.retry_after {
-            insert_header(&mut answer, RETRY_AFTER, &self.protocol.retry_after(after));
+            insert_header(
+                &mut answer,
+                RETRY_AFTER,
+                &self.protocol.format_retry_after(after),
+            );
         }
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::route_match::RouteMatch;
-use crate::call::Facts;
+use crate::call::RequestInfo;
 use crate::model::RouteName;
 
 /// The timeout of a caller, and how much of it is left.
@@ -22,11 +22,11 @@
 
 impl CallerTime {
     /// Returns the time of a caller that sent a timeout, if a route matched.
-    pub(super) fn new(facts: &Facts, matched: &RouteMatch<'_>) -> Option<Self> {
+    pub(super) fn new(info: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
         let route = matched.route?;
         Some(Self {
             route: route.name.clone(),
-            timeout: facts.timeout?,
+            timeout: info.timeout?,
             arrived_at: Instant::now(),
             slack: route.objective.get().saturating_sub(route.timeout.get()),
         })
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -60,7 +60,7 @@
 
     /// Adds a retry time to a refusal that has none, if a retry may help.
     pub(super) fn add_retry_after(&self, refusal: &mut Refusal) {
-        let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().may_pass();
+        let helps = refusal.verdict() == Verdict::NotRun && refusal.reason().is_transient();
         if helps && refusal.retry_after.is_none() {
             let time = MEAN_OUTAGE_RETRY_AFTER.mul_f64(rand::rng().random_range(0.5..1.5));
             refusal.retry_after = Some(time);
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -12,8 +12,8 @@
 use super::context::Context;
 use super::retry_source::RetrySource;
 use crate::call::{Attempt, Call, CallHead, Planned, Reason, Refusal, Reply};
-use crate::model::{AttemptId, Instance, Retries, Told, Verdict};
-use crate::peer::{self, Message};
+use crate::model::{AttemptId, Instance, RelayedNotice, Retries, Verdict};
+use crate::peer::{self, OutgoingCall};
 use crate::policy::admission::OnwardOutcome;
 use crate::policy::front::{UNREACHABLE_DEMAND, is_unreachable};
 use crate::policy::retry::{RepeatSafety, RetryAccount, RetryGrant};
@@ -193,14 +193,14 @@
             // Boxed, so that calls to other daemons don't reserve space for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
-            let message = Message {
+            let message = OutgoingCall {
                 head: self.head(),
-                account: grant.retries,
+                granted_retries: grant.retries,
                 body,
-                held: self.needs_confirmation(target),
+                needs_confirm: self.needs_confirmation(target),
                 suspect: self.suspect(),
-                told: notice,
-                waits: self.may_wait,
+                notice,
+                may_wait: self.may_wait,
             };
             peer::send(&self.context.pool, target, attempt, message).await
         };
@@ -218,16 +218,16 @@
     fn local_call(
         &self,
         attempt: AttemptId,
-        account: Retries,
+        granted_retries: Retries,
         body: Payload,
-        notice: Option<Told>,
+        notice: Option<RelayedNotice>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
-                account,
-                told: notice,
-                waits: self.may_wait,
+                granted_retries,
+                notice,
+                may_wait: self.may_wait,
                 ..self.head().clone()
             },
             body,
@@ -250,8 +250,8 @@
 
     fn settle_grant(&self, grant: RetryGrant, result: &Result<Reply, Refusal>) {
         let unused = match result {
-            Ok(reply) => Some(reply.head.account),
-            Err(refusal) if refusal.news.is_some() => Some(refusal.account),
+            Ok(reply) => Some(reply.head.returned_retries),
+            Err(refusal) if refusal.guard_status.is_some() => Some(refusal.returned_retries),
             Err(refusal) if refusal.verdict() == Verdict::NotRun => Some(grant.retries),
             Err(_) => None,
         };
--- a/src/entry/retry.rs
+++ b/src/entry/retry.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::forward::ForwardedCall;
-use crate::call::{Reason, Refusal, Scope};
+use crate::call::{Reason, Refusal, VerdictScope};
 use crate::model::Verdict;
 use crate::policy::admission::Shed;
 use crate::policy::retry::{FailedAttempt, RetryDecision, decide_retry};
@@ -25,13 +25,13 @@
     pub(super) fn weaken_verdict(&self, refusal: Refusal) -> Refusal {
         let may_be_repeat = self.head().once.is_some()
             && self.accepted.attempt_number != Some(1)
-            && refusal.scope() == Scope::Attempt;
+            && refusal.scope() == VerdictScope::Attempt;
         let earlier = if may_be_repeat {
             Verdict::MayHaveRun
         } else {
             self.earlier_verdict
         };
-        refusal.after(earlier)
+        refusal.with_earlier(earlier)
     }
 
     /// Records a failed attempt and decides whether to make another.
@@ -40,7 +40,7 @@
         if failed.verdict() == Verdict::MayHaveRun {
             self.earlier_verdict = Verdict::MayHaveRun;
         }
-        if failed.arrived() {
+        if failed.may_have_arrived() {
             self.sent_count += 1;
         } else if head.once.is_none() {
             return self.may_try_other_guard(failed);
@@ -50,9 +50,9 @@
         let is_once_retry = head.once.is_some()
             && matches!(
                 failed.reason(),
-                Reason::Cut | Reason::Crashed | Reason::Unreachable
+                Reason::IncompleteAnswer | Reason::Crashed | Reason::Unreachable
             );
-        if !is_once_retry && !failed.reason().may_differ_elsewhere() {
+        if !is_once_retry && !failed.reason().may_succeed_elsewhere() {
             return false;
         }
         // A rejected call may be sent again to servers that rejected it; after
@@ -90,7 +90,7 @@
     /// That is not a retry, since no backend server has received the call.
     fn may_try_other_guard(&mut self, failed: &Refusal) -> bool {
         let reason = failed.reason();
-        let elsewhere = reason.may_differ_elsewhere() || reason.is_overload();
+        let elsewhere = reason.may_succeed_elsewhere() || reason.is_overload();
         self.guard_refusals += 1;
         elsewhere && (self.guard_refusals <= MAX_GUARD_REFUSALS || self.may_wait_after(failed))
     }
--- a/src/guard/pacing.rs
+++ b/src/guard/pacing.rs
@@ -5,12 +5,12 @@
 use tokio::time::Instant;
 
 use super::Gate;
-use crate::model::{NamedRate, Rate};
+use crate::model::{Rate, RequestedRate};
 
 impl Gate {
     /// Records the rate named in the answer to a call sent at `sent_at`; returns
     /// whether it changed.
-    pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: NamedRate) -> bool {
+    pub fn record_rate(self: &Arc<Self>, sent_at: Instant, rate: RequestedRate) -> bool {
         let now = Instant::now();
         let changed = self.state.lock().admission.record_rate(now, sent_at, rate);
         if changed {
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -32,7 +32,7 @@
         once: OnceCall,
         body: Bytes,
     ) -> Result<Reply, Refusal> {
-        let account = head.account;
+        let account = head.granted_retries;
         let deadline = head.deadline;
         if let Err(reason) = self.check_owner(&once.key) {
             return Err(self.return_retries(attempt.refuse_once(reason), account));
@@ -50,7 +50,7 @@
                 (outcome, true)
             }
         };
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let waited =
             tokio::time::timeout_at(deadline, outcome.wait_for(|done| done.is_some())).await;
         let done = match waited {
@@ -59,7 +59,7 @@
         };
         let Some(done) = done else {
             let detail = "repeat with the same key to learn the outcome";
-            return Err(attempt.lose(Reason::Timeout, detail));
+            return Err(attempt.abandon(Reason::Timeout, detail));
         };
         let account = if started { done.account } else { account };
         match done.result {
@@ -85,7 +85,7 @@
             OnceAction::Refuse(reason) => return Err(attempt.refuse_once(reason)),
             OnceAction::Attach(outcome) | OnceAction::Run { outcome, .. } => outcome,
         };
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let waited = tokio::time::timeout(wait, outcome.wait_for(|done| done.is_some())).await;
         match waited {
             Ok(Ok(done)) => match &*done {
@@ -93,9 +93,9 @@
                     .result
                     .clone()
                     .map(|stored| self.stored_reply(stored, none, true)),
-                None => Err(attempt.lose(Reason::Timeout, "")),
+                None => Err(attempt.abandon(Reason::Timeout, "")),
             },
-            _ => Err(attempt.lose(Reason::Timeout, "the call is still running")),
+            _ => Err(attempt.abandon(Reason::Timeout, "the call is still running")),
         }
     }
 
@@ -114,12 +114,12 @@
             head: ReplyHead {
                 status,
                 headers,
-                account,
+                returned_retries: account,
                 // Stored answers don't record this, and entries don't use it for
                 // calls with a key.
-                onward: false,
-                news: self.status(),
-                kept: repeated,
+                made_calls: false,
+                guard_status: self.status(),
+                from_store: repeated,
             },
             body: Payload::Whole(stored.body.unwrap_or_default()),
         }
@@ -134,7 +134,7 @@
     async fn run_once(self: Arc<Self>, head: CallHead, once: OnceCall, body: Bytes, resumed: bool) {
         let key = once.key;
         let attempt = Attempt::with_id(head.attempt);
-        let account = head.account;
+        let account = head.granted_retries;
         let not_started = |refusal: Refusal| RunOutcome {
             result: Err(refusal),
             account,
@@ -153,30 +153,33 @@
         let _run_permit = match self.acquire_run_permit(&head).await {
             Ok(permit) => permit,
             Err(refused) => {
-                let done = not_started(refused.refuse(attempt).of_key());
+                let done = not_started(refused.refuse(attempt).with_key_scope());
                 return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
         let mut slot = match self.acquire_slot(&head).await {
             Ok(slot) => slot,
             Err(shed) => {
-                let done = not_started(attempt.refuse(Reason::Shed(shed), "").of_key());
+                let done = not_started(attempt.refuse(Reason::Shed(shed), "").with_key_scope());
                 return self.once.finish_run(&key, LedgerUpdate::Release, done);
             }
         };
         if let Err(refused) = self.check_not_quarantined(&head) {
-            let done = not_started(refused.refuse(attempt).of_key());
+            let done = not_started(refused.refuse(attempt).with_key_scope());
             return self.once.finish_run(&key, LedgerUpdate::Release, done);
         }
         let held = self
             .shared
             .parent_calls
             .register(head.call, ParentCall::new(&head));
-        let attempt = attempt.send();
+        let attempt = attempt.mark_sent();
         let limit = head.deadline + OUTCOME_GRACE;
         let sent = tokio::time::timeout_at(limit, self.request_whole(&head, body)).await;
         let (update, result) = match sent {
-            Err(_) => (LedgerUpdate::Lose, Err(attempt.lose(Reason::Timeout, ""))),
+            Err(_) => (
+                LedgerUpdate::Lose,
+                Err(attempt.abandon(Reason::Timeout, "")),
+            ),
             Ok(Err(error)) => {
                 let update = match error {
                     BackendError::Connect(_)
--- a/src/model/level.rs
+++ b/src/model/level.rs
@@ -17,7 +17,7 @@
     /// Number of distinct levels.
     pub const COUNT: usize = Self::STEPS * ClassRank::COUNT;
     /// The level that refuses nothing.
-    pub const OPEN: Self = Self(0);
+    pub const ADMIT_ALL: Self = Self(0);
     /// The level that refuses nearly all.
     pub const HIGHEST: Self = Self(Self::COUNT as u16 - 1);
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns the first level of the next more important class.
-    pub fn class_end(self) -> usize {
+    pub fn next_class_start(self) -> usize {
         (self.index() / Self::STEPS + 1) * Self::STEPS
     }
 
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -7,17 +7,17 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::call::Message;
+use super::call::OutgoingCall;
 use super::generated as wire;
-use super::id::{attempt_of, id_bytes, id_of};
-use super::suspect::suspect_out;
-use super::told::{room_in, room_out, told_in, told_out};
-use crate::call::{Attempt, CallHead, OnceCall, Reason, Refusal, ReplyHead, Scope, Sent};
+use super::id::{decode_attempt_id, decode_id, encode_id};
+use super::notice::{decode_notice, decode_rate_delay, encode_notice, encode_rate_delay};
+use super::suspect::encode_suspect;
+use crate::call::{Attempt, CallHead, OnceCall, Reason, Refusal, ReplyHead, Sent, VerdictScope};
 use crate::declare::Estate;
 use crate::error::Error;
 use crate::model::{
-    AttemptId, CallId, ClassRank, CrashId, Demand, Depth, Fingerprint, GuardNews, Instance, Level,
-    Percent, Priority, RankSet, Retries, RootId, Verdict, WorkspaceId,
+    AttemptId, CallId, ClassRank, CrashId, DemandedLevels, Depth, Fingerprint, GuardStatus,
+    Instance, Level, Percent, Priority, RankSet, Retries, RootId, Verdict, WorkspaceId,
 };
 use crate::web::Payload;
 
@@ -29,7 +29,7 @@
 }
 
 /// Writes headers.
-pub(super) fn headers_out(headers: &HeaderMap) -> Vec<wire::Header> {
+pub(super) fn encode_headers(headers: &HeaderMap) -> Vec<wire::Header> {
     headers
         .iter()
         .map(|(name, value)| wire::Header {
@@ -40,25 +40,25 @@
 }
 
 /// Reads headers.
-pub(super) fn headers_in(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
+pub(super) fn decode_headers(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
     if headers.len() > MAX_HEADERS {
         return Err(Error::value("message", "it has too many headers"));
     }
     let mut map = HeaderMap::with_capacity(headers.len());
     for header in headers {
-        let wrong = || Error::value("header", String::from_utf8_lossy(&header.name));
-        let name = HeaderName::from_bytes(&header.name).map_err(|_| wrong())?;
-        let value = HeaderValue::from_maybe_shared(header.value).map_err(|_| wrong())?;
+        let invalid = || Error::value("header", String::from_utf8_lossy(&header.name));
+        let name = HeaderName::from_bytes(&header.name).map_err(|_| invalid())?;
+        let value = HeaderValue::from_maybe_shared(header.value).map_err(|_| invalid())?;
         map.append(name, value);
     }
     Ok(map)
 }
 
 /// Writes the head of a call to `instance`, without its headers and its body.
-pub(super) fn call_out(
+pub(super) fn encode_call(
     instance: Instance,
     attempt: AttemptId,
-    message: &Message<'_>,
+    message: &OutgoingCall<'_>,
     now: Instant,
 ) -> wire::CallHead {
     let head = message.head;
@@ -66,9 +66,9 @@
     let once = head.once.as_ref();
     wire::CallHead {
         instance: instance.to_string(),
-        attempt: id_bytes(attempt.get()),
-        call: id_bytes(head.call.get()),
-        root: id_bytes(head.root.get()),
+        attempt: encode_id(attempt.get()),
+        call: encode_id(head.call.get()),
+        root: encode_id(head.root.get()),
         service: head.service.as_str().to_owned(),
         caller: head
             .caller
@@ -77,7 +77,7 @@
         class: head.class.as_str().to_owned(),
         depth: u32::from(head.depth.get()),
         deadline_ms: millis(left),
-        account: message.account.get(),
+        account: message.granted_retries.get(),
         once_key: once.map_or(String::new(), |once| once.key.to_string()),
         method: head.method.as_str().to_owned(),
         target: head.target.as_ref().to_owned(),
@@ -86,22 +86,22 @@
         body: Bytes::new(),
         repeat: head.repeat,
         rank: u32::from(head.priority.rank().get()),
-        held: message.held,
-        single: head.single,
+        held: message.needs_confirm,
+        single: head.single_call,
         asked: head
             .fingerprint
-            .map_or(Bytes::new(), |asks| id_bytes(asks.asked)),
-        asked_by: head.fingerprint.map_or(0, |asks| asks.caller),
-        suspect: message.suspect.as_ref().map(|s| suspect_out(s, now)),
+            .map_or(Bytes::new(), |fingerprint| encode_id(fingerprint.digest)),
+        asked_by: head.fingerprint.map_or(0, |fingerprint| fingerprint.caller),
+        suspect: message.suspect.as_ref().map(|s| encode_suspect(s, now)),
         workspace: head.workspace.map_or(0, WorkspaceId::get),
-        told: message.told.as_ref().map(told_out),
-        waits: message.waits,
+        told: message.notice.as_ref().map(encode_notice),
+        waits: message.may_wait,
     }
 }
 
 /// Reads the head of a call; a class that is not declared here has the rank
 /// that the sender gave it.
-pub(super) fn call_in(
+pub(super) fn decode_call(
     head: wire::CallHead,
     estate: Option<&Estate>,
     now: Instant,
@@ -110,7 +110,7 @@
         Some((rank, class)) => (rank, class.name.clone()),
         None => (ClassRank::new(head.rank as usize), head.class.parse()?),
     };
-    let root = RootId::new(id_of(&head.root)?);
+    let root = RootId::new(decode_id(&head.root)?);
     let depth = Depth::new(u8::try_from(head.depth).unwrap_or(u8::MAX));
     let once = match head.once_key.as_str() {
         "" => None,
@@ -119,7 +119,7 @@
     let fingerprint = match head.asked.len() {
         0 => None,
         _ => Some(Fingerprint {
-            asked: id_of(&head.asked)?,
+            digest: decode_id(&head.asked)?,
             caller: head.asked_by,
         }),
     };
@@ -130,63 +130,63 @@
     let method = Method::from_bytes(head.method.as_bytes())
         .map_err(|_| Error::value("method", head.method.clone()))?;
     Ok(CallHead {
-        attempt: attempt_of(&head.attempt)?,
-        call: CallId::new(id_of(&head.call)?),
+        attempt: decode_attempt_id(&head.attempt)?,
+        call: CallId::new(decode_id(&head.call)?),
         root,
         service: head.service.parse()?,
         caller,
         workspace: WorkspaceId::from_raw(head.workspace),
         class,
         priority: if head.single {
-            Priority::single(rank, root)
+            Priority::for_single_call(rank, root)
         } else {
             Priority::new(rank, depth, root)
         },
         depth,
-        single: head.single,
+        single_call: head.single,
         deadline: now + Duration::from_millis(u64::from(head.deadline_ms)),
-        account: Retries::new(head.account),
+        granted_retries: Retries::new(head.account),
         once,
         repeat: head.repeat,
         method,
         target: head.target.into(),
-        headers: headers_in(head.headers)?,
+        headers: decode_headers(head.headers)?,
         fingerprint,
-        told: head.told.as_ref().map(told_in),
-        waits: head.waits,
+        notice: head.told.as_ref().map(decode_notice),
+        may_wait: head.waits,
     })
 }
 
 /// Writes the head of an answer, without its headers.
-pub(super) fn reply_out(
+pub(super) fn encode_reply(
     attempt: AttemptId,
     head: &ReplyHead,
     body: Option<Bytes>,
 ) -> wire::AnswerHead {
     let digest = body.as_ref().map_or(0, |body| xxh3_64(body));
     wire::AnswerHead {
-        attempt: id_bytes(attempt.get()),
+        attempt: encode_id(attempt.get()),
         status: u32::from(head.status.as_u16()),
         headers: Vec::new(),
         streamed: body.is_none(),
         body: body.unwrap_or_default(),
         digest,
-        account: head.account.get(),
-        kept: head.kept,
-        level: u32::from(head.news.demand.level.get()),
-        below: u32::from(head.news.demand.below.get()),
-        classes: head.news.demand.classes.bits(),
-        load: head.news.load,
-        faults: u32::from(head.news.faults.get()),
-        leaving: head.news.leaving,
-        onward: head.onward,
-        told: head.news.told.as_ref().map(told_out),
-        room_ms: room_out(head.news.room),
+        account: head.returned_retries.get(),
+        kept: head.from_store,
+        level: u32::from(head.guard_status.demand.level.get()),
+        below: u32::from(head.guard_status.demand.downstream.get()),
+        classes: head.guard_status.demand.downstream_classes.bits(),
+        load: head.guard_status.load,
+        faults: u32::from(head.guard_status.fault_share.get()),
+        leaving: head.guard_status.leaving,
+        onward: head.made_calls,
+        told: head.guard_status.notice.as_ref().map(encode_notice),
+        room_ms: encode_rate_delay(head.guard_status.rate_delay),
     }
 }
 
 /// Reads the head of an answer.
-pub(super) fn reply_in(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
+pub(super) fn decode_reply(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
     if !head.streamed && xxh3_64(&head.body) != head.digest {
         return Err(Error::value("answer", "its digest does not fit"));
     }
@@ -196,82 +196,82 @@
         .ok_or_else(|| Error::value("status", head.status.to_string()))?;
     let reply = ReplyHead {
         status,
-        headers: headers_in(head.headers)?,
-        account: Retries::new(head.account),
-        news: GuardNews {
-            demand: Demand {
+        headers: decode_headers(head.headers)?,
+        returned_retries: Retries::new(head.account),
+        guard_status: GuardStatus {
+            demand: DemandedLevels {
                 level: Level::from_raw(head.level),
-                below: Level::from_raw(head.below),
-                classes: RankSet::from_bits(head.classes),
+                downstream: Level::from_raw(head.below),
+                downstream_classes: RankSet::from_bits(head.classes),
             },
             load: head.load,
-            faults: Percent::new(head.faults),
+            fault_share: Percent::new(head.faults),
             leaving: head.leaving,
-            told: head.told.as_ref().map(told_in),
-            room: room_in(head.room_ms),
+            notice: head.told.as_ref().map(decode_notice),
+            rate_delay: decode_rate_delay(head.room_ms),
         },
-        onward: head.onward,
-        kept: head.kept,
+        made_calls: head.onward,
+        from_store: head.kept,
     };
     Ok((reply, head.body))
 }
 
 /// Writes a refusal.
-pub(super) fn refusal_out(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
-    let news = refusal.news.unwrap_or_default();
+pub(super) fn encode_refusal(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
+    let news = refusal.guard_status.unwrap_or_default();
     wire::Refusal {
-        attempt: id_bytes(attempt.get()),
+        attempt: encode_id(attempt.get()),
         verdict: refusal.verdict().to_string(),
         reason: refusal.reason().to_string(),
         detail: refusal.detail.to_string(),
         retry_after_ms: refusal.retry_after.map_or(0, millis),
-        of_key: refusal.scope() == Scope::Key,
-        account: refusal.account.get(),
+        of_key: refusal.scope() == VerdictScope::Key,
+        account: refusal.returned_retries.get(),
         level: u32::from(news.demand.level.get()),
-        below: u32::from(news.demand.below.get()),
-        classes: news.demand.classes.bits(),
+        below: u32::from(news.demand.downstream.get()),
+        classes: news.demand.downstream_classes.bits(),
         load: news.load,
-        faults: u32::from(news.faults.get()),
+        faults: u32::from(news.fault_share.get()),
         leaving: news.leaving,
-        told: news.told.as_ref().map(told_out),
-        room_ms: room_out(news.room),
+        told: news.notice.as_ref().map(encode_notice),
+        room_ms: encode_rate_delay(news.rate_delay),
         crash: refusal.crash.map_or(0, CrashId::get),
     }
 }
 
 /// Repeats a refusal that the other side sent.
-pub(super) fn refusal_in(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
-    let parts = attempt_of(&message.attempt).and_then(|of| {
+pub(super) fn decode_refusal(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
+    let parts = decode_attempt_id(&message.attempt).and_then(|of| {
         let verdict: Verdict = message.verdict.parse()?;
         let reason: Reason = message.reason.parse()?;
         Ok((of, verdict, reason))
     });
     let (of, verdict, reason) = match parts {
         Ok(parts) => parts,
-        Err(e) => return attempt.lose(Reason::Garbage, e.to_string()),
+        Err(e) => return attempt.abandon(Reason::InvalidAnswer, e.to_string()),
     };
-    let mut refusal = attempt.relay(of, verdict, reason, &message.detail);
+    let mut refusal = attempt.relay_refusal(of, verdict, reason, &message.detail);
     if refusal.reason() == reason {
         if message.of_key {
-            refusal = refusal.of_key();
+            refusal = refusal.with_key_scope();
         }
-        refusal.account = Retries::new(message.account);
+        refusal.returned_retries = Retries::new(message.account);
         refusal.crash = (message.crash != 0).then(|| CrashId::new(message.crash));
         refusal.retry_after = match message.retry_after_ms {
             0 => None,
             ms => Some(Duration::from_millis(u64::from(ms))),
         };
-        refusal.news = Some(GuardNews {
-            demand: Demand {
+        refusal.guard_status = Some(GuardStatus {
+            demand: DemandedLevels {
                 level: Level::from_raw(message.level),
-                below: Level::from_raw(message.below),
-                classes: RankSet::from_bits(message.classes),
+                downstream: Level::from_raw(message.below),
+                downstream_classes: RankSet::from_bits(message.classes),
             },
             load: message.load,
-            faults: Percent::new(message.faults),
+            fault_share: Percent::new(message.faults),
             leaving: message.leaving,
-            told: message.told.as_ref().map(told_in),
-            room: room_in(message.room_ms),
+            notice: message.told.as_ref().map(decode_notice),
+            rate_delay: decode_rate_delay(message.room_ms),
         });
     }
     refusal
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -71,7 +71,7 @@
     /// Creates a threshold that admits everything.
     pub fn new(now: Instant) -> Self {
         Self {
-            level: Level::OPEN,
+            level: Level::ADMIT_ALL,
             arrivals: BTreeMap::new(),
             window_weight: 0.0,
             arrival_count: 0,
@@ -122,7 +122,7 @@
             return;
         }
         self.window_weight = self.window_weight * COUNT_DECAY + 1.0;
-        if self.level > Level::OPEN || self.shed_count > 0 {
+        if self.level > Level::ADMIT_ALL || self.shed_count > 0 {
             self.adjust(backlog);
         }
         let capacity = f64::from(self.start_count.max(1));
@@ -161,14 +161,14 @@
     /// as those above it in the same class, and steps are bounded.
     fn opening_step(&self, target: f64, offered: f64, idle: bool) -> f64 {
         let low = self.level.index();
-        let open = self.level.class_end() - low;
+        let open = self.level.next_class_start() - low;
         let share = if idle && offered < target * LOW_DEMAND_SHARE {
             FAST_OPEN_SHARE
         } else {
             OPEN_SHARE
         };
         let most = (open.max(MIN_BAND) as f64 * share).max(1.0);
-        let density = self.arrivals_in(low..self.level.class_end()) / open as f64;
+        let density = self.arrivals_in(low..self.level.next_class_start()) / open as f64;
         if density <= 0.0 || (idle && offered < target * LOW_DEMAND_SHARE) {
             return most;
         }
@@ -195,6 +195,6 @@
                 return Level::from_raw(*index as u32 + 1);
             }
         }
-        Level::OPEN
+        Level::ADMIT_ALL
     }
 }
--- a/src/tables/suspects.rs
+++ b/src/tables/suspects.rs
@@ -148,7 +148,7 @@
     /// Returns what is known of a request.
     pub fn get(&self, request: Fingerprint) -> Option<Suspect> {
         let known = self.known.lock();
-        known.get(Instant::now(), request.asked).cloned()
+        known.get(Instant::now(), request.digest).cloned()
     }
 
     /// Returns what changed after `since`, and the count of changes.
@@ -179,7 +179,7 @@
         let before = known.restriction(now, request);
         let new = change(&mut known, now);
         let after = known.restriction(now, request);
-        let suspect = known.get(now, request.asked);
+        let suspect = known.get(now, request.digest);
         let crashes = suspect.map_or(0, Suspect::crash_count);
         if new {
             self.queue_if_own(suspect);
