--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -22,11 +22,11 @@
 
 impl CallerTime {
     /// Returns the time of a caller that sent a timeout, if a route matched.
-    pub(super) fn new(facts: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
+    pub(super) fn new(info: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
         let route = matched.route?;
         Some(Self {
             route: route.name.clone(),
-            timeout: facts.timeout?,
+            timeout: info.timeout?,
             arrived_at: Instant::now(),
             slack: route.objective.get().saturating_sub(route.timeout.get()),
         })
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -218,14 +218,14 @@
     fn local_call(
         &self,
         attempt: AttemptId,
-        account: Retries,
+        granted_retries: Retries,
         body: Payload,
         notice: Option<RelayedNotice>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
-                granted_retries: account,
+                granted_retries,
                 notice,
                 may_wait: self.may_wait,
                 ..self.head().clone()
