--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -1,4 +1,4 @@
-//! The time that a caller has.
+//! Timeouts of callers.
 
 use std::time::Duration;
 
@@ -8,32 +8,31 @@
 use crate::call::RequestInfo;
 use crate::model::RouteName;
 
-/// The time that a caller of a route has.
+/// The timeout of a caller, and how much of it is left.
 pub(super) struct CallerTime {
-    /// The route.
     pub(super) route: RouteName,
-    /// The time that the caller had when it came.
+    /// The timeout that the caller sent.
     pub(super) timeout: Duration,
-    /// When the caller came.
+    /// When the request arrived.
     pub(super) arrived_at: Instant,
-    /// How long a new caller may stay away for an answer of full use: what the
-    /// objective leaves of the longest time that one attempt takes.
+    /// How long a new caller may delay its retry and still get an answer within
+    /// the objective, if one attempt takes the full timeout of the route.
     pub(super) slack: Duration,
 }
 
 impl CallerTime {
-    /// Returns the time of a caller that tells it, if a route matched.
-    pub(super) fn new(facts: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
+    /// Returns the time of a caller that sent a timeout, if a route matched.
+    pub(super) fn new(info: &RequestInfo, matched: &RouteMatch<'_>) -> Option<Self> {
         let route = matched.route?;
         Some(Self {
             route: route.name.clone(),
-            timeout: facts.timeout?,
+            timeout: info.timeout?,
             arrived_at: Instant::now(),
             slack: route.objective.get().saturating_sub(route.timeout.get()),
         })
     }
 
-    /// Returns the time that the caller has left.
+    /// Returns how much of the timeout is left.
     pub(super) fn time_left(&self, now: Instant) -> Duration {
         let waited = now.saturating_duration_since(self.arrived_at);
         self.timeout.saturating_sub(waited)
