--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use bramleymount::store::{Memory, serve_standin};
+use bramleymount::store::{MemoryPlatform, serve_standin};
 use eyre::{WrapErr, eyre};
 
 fn main() -> eyre::Result<()> {
@@ -12,7 +12,7 @@
         .ok_or_else(|| eyre!("name the address to listen on, such as 127.0.0.1:7000"))?
         .parse()
         .wrap_err("the address must be IP:PORT")?;
-    let server = serve_standin(address, Arc::new(Memory::default()))?;
+    let server = serve_standin(address, Arc::new(MemoryPlatform::default()))?;
     println!("platform stand-in on {}", server.address());
     loop {
         std::thread::park();
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -14,7 +14,7 @@
 use crate::operator::{ApplyRequest, ApplyResult, apply};
 use crate::policy::front::FrontMode;
 use crate::policy::route::Balance;
-use crate::store::Memory;
+use crate::store::MemoryPlatform;
 
 /// How often emulated backend servers renew their announcements.
 const RENEW: Duration = Duration::from_secs(3);
@@ -50,7 +50,7 @@
     /// The servers.
     pub servers: Vec<Server>,
     /// The platform.
-    pub platform: Arc<Memory>,
+    pub platform: Arc<MemoryPlatform>,
     /// The network.
     pub network: Arc<Network>,
     /// The declarations in force.
@@ -111,7 +111,7 @@
     ) -> Result<Self, Error> {
         let mut site = Self {
             servers: Vec::new(),
-            platform: Arc::new(Memory::default()),
+            platform: Arc::new(MemoryPlatform::default()),
             network: Arc::new(Network::default()),
             estate,
             direct,
--- a/src/guard/run_once.rs
+++ b/src/guard/run_once.rs
@@ -15,7 +15,7 @@
 use crate::policy::once::{
     Claim, ClaimCheck, Nonce, OnceRefusal, StoredAnswer, check_claim, check_owner, claim_row_key,
 };
-use crate::store::{Condition, Settled, settle};
+use crate::store::{Condition, WriteOutcome, write_with_retry};
 use crate::tables::{ParentCall, mint_now};
 use crate::web::Payload;
 
@@ -219,10 +219,10 @@
                 owner,
             })
         };
-        let row = match settle(table, &name, Condition::Absent, content).await {
-            Settled::Written(_) => return Ok(()),
-            Settled::Lost(row) => row,
-            Settled::NotSent(_) | Settled::Unsettled(_) => {
+        let row = match write_with_retry(table, &name, Condition::Absent, content).await {
+            WriteOutcome::Written(_) => return Ok(()),
+            WriteOutcome::Conflict(row) => row,
+            WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => {
                 return fail(OnceRefusal::NoPlatform, LedgerUpdate::Release, None);
             }
         };
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -6,7 +6,7 @@
 use crate::declare::{Document, Hash, Manifest, diff, join};
 use crate::model::Version;
 use crate::peer::apply_configuration;
-use crate::store::{Condition, Row, Settled, WriteError, settle};
+use crate::store::{Condition, Row, WriteError, WriteOutcome, write_with_retry};
 use crate::tables::{Shared, unix_ms};
 use crate::task::{CURRENT_ROW, CurrentRow, fetch_version};
 
@@ -142,8 +142,8 @@
         change: request.change,
     };
     let content = serde_json::to_vec(&row).unwrap_or_default().into();
-    match settle(shared.platform.as_ref(), CURRENT_ROW, condition, content).await {
-        Settled::Written(_) => {
+    match write_with_retry(shared.platform.as_ref(), CURRENT_ROW, condition, content).await {
+        WriteOutcome::Written(_) => {
             let author = &*request.author;
             spdlog::info!("configuration accepted", kv: { version = version.get(), author });
             if let Err(e) = apply_configuration(shared, manifest, request.documents) {
@@ -151,9 +151,11 @@
             }
             ApplyResult::Accepted { version }
         }
-        Settled::Lost(_) => refused("another operator was quicker; look at bramleyctl diff"),
-        Settled::NotSent(why) => refused(format!("the platform cannot be reached: {why}")),
-        Settled::Unsettled(why) => ApplyResult::Unknown { why },
+        WriteOutcome::Conflict(_) => {
+            refused("another operator was quicker; look at bramleyctl diff")
+        }
+        WriteOutcome::NotSent(why) => refused(format!("the platform cannot be reached: {why}")),
+        WriteOutcome::Unknown(why) => ApplyResult::Unknown { why },
     }
 }
 
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -30,7 +30,7 @@
 
 /// A version of the operator's document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Operated {
+pub struct VersionedEstate {
     /// The version.
     pub version: Version,
     /// What it declares.
@@ -138,7 +138,7 @@
 /// # Errors
 ///
 /// Fails if the content is no such document.
-pub fn read_document(content: &[u8]) -> Result<Operated, Error> {
+pub fn read_document(content: &[u8]) -> Result<VersionedEstate, Error> {
     // The library's message would quote what it found, which may be a key.
     let document: Document = serde_json::from_slice(content).map_err(|e| {
         let (kind, line, column) = (e.classify(), e.line(), e.column());
@@ -152,7 +152,7 @@
         .map(|(name, entry)| route(name, entry, &ranks))
         .collect::<Result<Vec<Route>, Error>>()?;
     let workspaces = workspaces(&document, &ranks);
-    Ok(Operated {
+    Ok(VersionedEstate {
         version: Version::new(document.version),
         estate: Estate {
             centres: Vec::new(),
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -3,17 +3,17 @@
 //! It alone knows the names on the platform's wire. Each is read once, here,
 //! into the product's own types; decisions, state and recovery are elsewhere.
 
-mod beat;
+mod announcement;
+mod configuration;
 mod document;
 mod headers;
-mod ready;
+mod readiness;
 mod row;
-mod rows;
-mod watch;
+mod row_store;
 
-pub use beat::{read_announcement, serve_announcements};
-pub use document::{Operated, read_document};
+pub use announcement::{read_announcement, serve_announcements};
+pub use configuration::watch_configuration;
+pub use document::{VersionedEstate, read_document};
 pub use headers::PlatformProtocol;
-pub use ready::serve_readiness;
-pub use rows::RowStore;
-pub use watch::watch_configuration;
+pub use readiness::serve_readiness;
+pub use row_store::RowStore;
--- a/src/platform/rows.rs
+++ b/src/platform/row_store.rs
@@ -54,7 +54,7 @@
     fn note(&self, answer: Answer) -> Answer {
         let told = answer.headers.get(&ERA).and_then(|era| era.to_str().ok());
         if let Some(era) = told.and_then(|era| era.trim().parse().ok()) {
-            self.eras.note(Era(era));
+            self.eras.record(Era(era));
         }
         answer
     }
@@ -210,8 +210,8 @@
         })
     }
 
-    fn went_back(&self) -> watch::Receiver<u64> {
-        self.eras.went_back()
+    fn restores(&self) -> watch::Receiver<u64> {
+        self.eras.restores()
     }
 }
 
@@ -237,13 +237,13 @@
             let answer = self.note(answer.map_err(failed)?);
             match answer.status {
                 StatusCode::OK => {}
-                StatusCode::GONE => return Err(FeedError::Forgotten),
+                StatusCode::GONE => return Err(FeedError::HistoryExpired),
                 status => return Err(FeedError::Failed(format!("status {status}").into())),
             }
             let page: Page = decode(&answer).map_err(FeedError::Failed)?;
             Ok(Changes {
                 changes: page.found().map(|found| found.change()).collect(),
-                at: Revision(page.ver),
+                revision: Revision(page.ver),
             })
         })
     }
--- a/src/store/settle.rs
+++ b/src/store/conditional_write.rs
@@ -9,15 +9,15 @@
 
 /// What is known of a write in the end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum WriteOutcome {
     /// It took effect.
     Written(Revision),
     /// It did not and never will; here is the row, if there is one.
-    Lost(Option<Row>),
+    Conflict(Option<Row>),
     /// Nothing was ever sent; it did not take effect and never will.
     NotSent(Box<str>),
     /// It may have taken effect or may do so later.
-    Unsettled(Box<str>),
+    Unknown(Box<str>),
 }
 
 /// Writes a row, and on a lost answer writes it again under the same
@@ -26,25 +26,25 @@
 /// The content must differ from every other write of the row, so that finding
 /// it there means that this write took effect. Writing again, rather than
 /// reading back, also rules out that the first write takes effect later.
-pub async fn settle(
+pub async fn write_with_retry(
     table: &dyn TableStore,
     key: &str,
     condition: Condition,
     content: Bytes,
-) -> Settled {
+) -> WriteOutcome {
     let mut sent = false;
     let mut cause = Box::default();
     for _ in 0..TRIES {
         match table.write(key, condition, content.clone()).await {
-            Ok(revision) => return Settled::Written(revision),
+            Ok(revision) => return WriteOutcome::Written(revision),
             Err(WriteError::Conflict(Some(row))) if row.content == content => {
-                return Settled::Written(row.revision);
+                return WriteOutcome::Written(row.revision);
             }
             Err(WriteError::Conflict(row)) if !sent || is_next(condition, row.as_ref()) => {
-                return Settled::Lost(row);
+                return WriteOutcome::Conflict(row);
             }
             Err(WriteError::Conflict(_)) => {
-                return Settled::Unsettled("the row was changed again since".into());
+                return WriteOutcome::Unknown("the row was changed again since".into());
             }
             Err(WriteError::NotSent(why)) => cause = why,
             Err(WriteError::Unknown(why)) => {
@@ -54,9 +54,9 @@
         }
     }
     if sent {
-        Settled::Unsettled(cause)
+        WriteOutcome::Unknown(cause)
     } else {
-        Settled::NotSent(cause)
+        WriteOutcome::NotSent(cause)
     }
 }
 
--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -21,14 +21,14 @@
 #[derive(Debug)]
 pub struct Eras {
     known: Mutex<Option<Era>>,
-    went_back: watch::Sender<u64>,
+    restores: watch::Sender<u64>,
 }
 
 impl Default for Eras {
     fn default() -> Self {
         Self {
             known: Mutex::default(),
-            went_back: watch::Sender::new(0),
+            restores: watch::Sender::new(0),
         }
     }
 }
@@ -36,7 +36,7 @@
 impl Eras {
     /// Takes note of the era of an answer. A higher one than known means that
     /// the store went back; late answers of lower ones mean nothing.
-    pub fn note(&self, told: Era) {
+    pub fn record(&self, told: Era) {
         let mut known = self.known.lock();
         let Some(before) = *known else {
             *known = Some(told);
@@ -48,11 +48,11 @@
         *known = Some(told);
         drop(known);
         spdlog::warn!("store went back", kv: { era = told.0, before = before.0 });
-        self.went_back.send_modify(|times| *times += 1);
+        self.restores.send_modify(|times| *times += 1);
     }
 
     /// Returns a watch over how often the store is known to have gone back.
-    pub fn went_back(&self) -> watch::Receiver<u64> {
-        self.went_back.subscribe()
+    pub fn restores(&self) -> watch::Receiver<u64> {
+        self.restores.subscribe()
     }
 }
--- a/src/store/memory.rs
+++ b/src/store/memory.rs
@@ -44,11 +44,11 @@
 
 /// The table service and object store, kept in memory.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryPlatform {
     state: Mutex<State>,
 }
 
-impl Memory {
+impl MemoryPlatform {
     /// Sets the fault from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().fault = fault;
@@ -124,7 +124,7 @@
     }
 }
 
-impl TableStore for Memory {
+impl TableStore for MemoryPlatform {
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, ReadError>> {
         Box::pin(async move {
             self.begin_read().await?;
@@ -181,7 +181,7 @@
     }
 }
 
-impl ObjectStore for Memory {
+impl ObjectStore for MemoryPlatform {
     fn get<'a>(&'a self, name: &'a str) -> BoxFuture<'a, Result<Option<Bytes>, ReadError>> {
         Box::pin(async move {
             self.begin_read().await?;
--- a/src/store/standin.rs
+++ b/src/store/standin.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use xitca_web::body::{BodyExt, RequestBody};
 
-use super::{Condition, Fault, Memory, ObjectStore, Revision, Row, TableStore, WriteError};
+use super::{Condition, Fault, MemoryPlatform, ObjectStore, Revision, Row, TableStore, WriteError};
 use crate::error::Error;
 use crate::web::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
 
@@ -43,14 +43,14 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve_standin(address: SocketAddr, memory: Arc<Memory>) -> Result<Running, Error> {
+pub fn serve_standin(address: SocketAddr, memory: Arc<MemoryPlatform>) -> Result<Running, Error> {
     serve(address, 1, move |request| {
         let memory = Arc::clone(&memory);
         async move { handle(&memory, request).await }
     })
 }
 
-async fn handle(memory: &Memory, request: HttpRequest) -> HttpResponse {
+async fn handle(memory: &MemoryPlatform, request: HttpRequest) -> HttpResponse {
     let (head, ext) = request.into_parts();
     let (_, body) = ext.replace_body(());
     let Some(body) = read_body(body).await else {
@@ -85,7 +85,7 @@
     Some(whole.freeze())
 }
 
-fn set_fault(memory: &Memory, body: &[u8]) -> HttpResponse {
+fn set_fault(memory: &MemoryPlatform, body: &[u8]) -> HttpResponse {
     match serde_json::from_slice::<Fault>(body) {
         Ok(fault) => {
             memory.set_fault(fault);
@@ -96,7 +96,7 @@
 }
 
 async fn table(
-    memory: &Memory,
+    memory: &MemoryPlatform,
     method: &Method,
     key: &str,
     headers: &HeaderMap,
@@ -156,7 +156,7 @@
     }
 }
 
-async fn scan(memory: &Memory, prefix: &str) -> HttpResponse {
+async fn scan(memory: &MemoryPlatform, prefix: &str) -> HttpResponse {
     match memory.scan(prefix).await {
         Ok(rows) => {
             let rows: Vec<ScanRow> = rows
@@ -173,7 +173,12 @@
     }
 }
 
-async fn objects(memory: &Memory, method: &Method, name: &str, body: Bytes) -> HttpResponse {
+async fn objects(
+    memory: &MemoryPlatform,
+    method: &Method,
+    name: &str,
+    body: Bytes,
+) -> HttpResponse {
     match *method {
         Method::GET => match memory.get(name).await {
             Ok(Some(content)) => answer_text(StatusCode::OK, "")
--- a/src/store/traits.rs
+++ b/src/store/traits.rs
@@ -100,7 +100,7 @@
     /// Returns a watch over how often the service is known to have come back
     /// from a copy, which loses the latest writes; one that never does keeps
     /// this default.
-    fn went_back(&self) -> watch::Receiver<u64> {
+    fn restores(&self) -> watch::Receiver<u64> {
         watch::Sender::new(0).subscribe()
     }
 }
@@ -120,14 +120,14 @@
     /// The changes in order.
     pub changes: Vec<RowChange>,
     /// The revision up to which they are told.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// Why a feed gave nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedError {
     /// The changes since then are no longer known; the rows must be read.
-    Forgotten,
+    HistoryExpired,
     /// The platform did not answer.
     Failed(Box<str>),
 }
--- a/src/task/follow.rs
+++ b/src/task/follow.rs
@@ -48,7 +48,7 @@
         Budget::with_max_backoff(Instant::now(), QUERIES_PER_S, QUERY_BURST, MAX_BACKOFF);
     let mut known: Option<Revision> = None;
     let mut lost = false;
-    let mut restored = feed.went_back();
+    let mut restored = feed.restores();
     let mut restores = *restored.borrow_and_update();
     loop {
         if !may_query() {
@@ -136,10 +136,10 @@
                     apply(row);
                 }
             }
-            *known = Some(changes.at.max(after));
+            *known = Some(changes.revision.max(after));
             None
         }
-        Err(FeedError::Forgotten) => {
+        Err(FeedError::HistoryExpired) => {
             *known = None;
             None
         }
--- a/src/task/member_row.rs
+++ b/src/task/member_row.rs
@@ -11,7 +11,7 @@
 
 use super::store_role::{until_not_using_store, until_using_store};
 use crate::policy::member::{Budget, Member, MemberState, StoreRole, View};
-use crate::store::{Condition, Revision, Row, Settled, settle};
+use crate::store::{Condition, Revision, Row, WriteOutcome, write_with_retry};
 use crate::tables::Shared;
 
 /// What the names of the rows begin with; the address follows.
@@ -48,7 +48,7 @@
 pub async fn keep_member_row(shared: Arc<Shared>) {
     let mut budget =
         Budget::with_max_backoff(Instant::now(), ROUNDS_PER_S, ROUND_BURST, MAX_BACKOFF);
-    let mut restored = shared.platform.went_back();
+    let mut restored = shared.platform.restores();
     loop {
         let role = until_using_store(&shared).await;
         if shared.view.lock().own().state == MemberState::Left {
@@ -166,14 +166,14 @@
     let mut condition = Condition::Absent;
     // A row that an earlier run at this address left is written over.
     for _ in 0..2 {
-        match settle(table, &key, condition, content.clone()).await {
-            Settled::Written(revision) => {
+        match write_with_retry(table, &key, condition, content.clone()).await {
+            WriteOutcome::Written(revision) => {
                 *shared.member_row.lock() = Some(revision);
                 return true;
             }
-            Settled::Lost(Some(found)) => condition = Condition::Revision(found.revision),
-            Settled::Lost(None) => condition = Condition::Absent,
-            Settled::NotSent(_) | Settled::Unsettled(_) => return false,
+            WriteOutcome::Conflict(Some(found)) => condition = Condition::Revision(found.revision),
+            WriteOutcome::Conflict(None) => condition = Condition::Absent,
+            WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => return false,
         }
     }
     false
--- a/src/task/ownership.rs
+++ b/src/task/ownership.rs
@@ -9,7 +9,7 @@
 use crate::model::{Instance, ServiceName};
 use crate::policy::member::Budget;
 use crate::policy::once::{Horizon, OwnershipRow, plan_ownership};
-use crate::store::{Condition, Settled, settle};
+use crate::store::{Condition, WriteOutcome, write_with_retry};
 use crate::tables::{Shared, StoredOwnership, mint_now};
 
 /// How often the row is looked at.
@@ -98,20 +98,20 @@
     };
     let content = row.encode().into();
     let table = shared.platform.as_ref();
-    match settle(table, &row_key(service), condition, content).await {
-        Settled::Written(revision) => {
+    match write_with_retry(table, &row_key(service), condition, content).await {
+        WriteOutcome::Written(revision) => {
             shared.ownership.update(service, revision, row);
             shared.notify_gossip();
             Some(())
         }
-        Settled::Lost(Some(found)) => {
+        WriteOutcome::Conflict(Some(found)) => {
             if let Ok(row) = OwnershipRow::decode(&found.content) {
                 shared.ownership.update(service, found.revision, row);
             }
             Some(())
         }
-        Settled::Lost(None) => Some(()),
-        Settled::NotSent(_) | Settled::Unsettled(_) => None,
+        WriteOutcome::Conflict(None) => Some(()),
+        WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => None,
     }
 }
 
--- a/src/task/stop.rs
+++ b/src/task/stop.rs
@@ -14,7 +14,7 @@
 use crate::peer::{Pool, exchange, hand_over};
 use crate::policy::member::{MemberState, SyncPosition, neighbours};
 use crate::policy::once::{Successor, hand_over as hand_over_row};
-use crate::store::{Condition, Settled, settle};
+use crate::store::{Condition, WriteOutcome, write_with_retry};
 use crate::tables::Shared;
 
 /// How long callers have to learn that this daemon leaves before its entry
@@ -178,12 +178,12 @@
         let condition = Condition::Revision(stored.revision);
         let content = row.encode().into();
         let table = shared.platform.as_ref();
-        match settle(table, &row_key(service), condition, content).await {
-            Settled::Written(revision) => {
+        match write_with_retry(table, &row_key(service), condition, content).await {
+            WriteOutcome::Written(revision) => {
                 shared.ownership.update(service, revision, row);
                 return true;
             }
-            Settled::Lost(Some(found)) => {
+            WriteOutcome::Conflict(Some(found)) => {
                 let Ok(row) = crate::policy::once::OwnershipRow::decode(&found.content) else {
                     return false;
                 };
@@ -193,7 +193,9 @@
                 };
                 stored = later;
             }
-            Settled::Lost(None) | Settled::NotSent(_) | Settled::Unsettled(_) => return false,
+            WriteOutcome::Conflict(None) | WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => {
+                return false;
+            }
         }
     }
 }
--- a/src/task/suspects.rs
+++ b/src/task/suspects.rs
@@ -17,7 +17,7 @@
 use crate::model::CrashId;
 use crate::policy::crash::{CrashRecord, Suspect};
 use crate::policy::member::Budget;
-use crate::store::{Condition, Row, Settled, settle};
+use crate::store::{Condition, Row, WriteOutcome, write_with_retry};
 use crate::tables::{Shared, unix_ms};
 
 /// What the names of the rows begin with; what is asked for follows.
@@ -80,7 +80,7 @@
     let mut budget =
         Budget::with_max_backoff(Instant::now(), REQUESTS_PER_S, REQUEST_BURST, MAX_BACKOFF);
     let mut read = false;
-    let mut restored = shared.platform.went_back();
+    let mut restored = shared.platform.restores();
     loop {
         tokio::select! {
             () = shared.quarantine_notify.notified() => {}
@@ -169,12 +169,13 @@
     let content = Content::new(suspect, Instant::now());
     let content = serde_json::to_vec(&content).unwrap_or_default();
     let table = shared.platform.as_ref();
-    let (outcome, stands) = match settle(table, &key, Condition::Absent, content.into()).await {
-        Settled::Written(_) => ("written", true),
-        Settled::Lost(_) => ("there already", true),
-        Settled::NotSent(_) => ("not sent", false),
-        Settled::Unsettled(_) => ("not known", false),
-    };
+    let (outcome, stands) =
+        match write_with_retry(table, &key, Condition::Absent, content.into()).await {
+            WriteOutcome::Written(_) => ("written", true),
+            WriteOutcome::Conflict(_) => ("there already", true),
+            WriteOutcome::NotSent(_) => ("not sent", false),
+            WriteOutcome::Unknown(_) => ("not known", false),
+        };
     spdlog::info!("row of a held request", kv: { key = key.as_str(), outcome });
     stands
 }
--- a/tests/fault_matrix/world/guard.rs
+++ b/tests/fault_matrix/world/guard.rs
@@ -119,9 +119,14 @@
         let claim = Claim { owner: own, nonce };
         let content = Bytes::from(serde_json::to_vec(&claim).expect("JSON"));
         let name = claim_row_key(&service(), key);
-        match now(settle(&self.table, &name, Condition::Absent, content)) {
-            Settled::Written(_) => Ok(()),
-            Settled::Lost(row) => {
+        match now(write_with_retry(
+            &self.table,
+            &name,
+            Condition::Absent,
+            content,
+        )) {
+            WriteOutcome::Written(_) => Ok(()),
+            WriteOutcome::Conflict(row) => {
                 let found = row
                     .and_then(|row| serde_json::from_slice(&row.content).ok())
                     .expect("a claim");
@@ -132,7 +137,9 @@
                     ClaimCheck::Other(_) => Err((OnceRefusal::WrongOwner, false)),
                 }
             }
-            Settled::NotSent(_) | Settled::Unsettled(_) => Err((OnceRefusal::NoPlatform, true)),
+            WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => {
+                Err((OnceRefusal::NoPlatform, true))
+            }
         }
     }
 
--- a/tests/fault_matrix/world/membership.rs
+++ b/tests/fault_matrix/world/membership.rs
@@ -66,9 +66,16 @@
         let condition = known.map_or(Condition::Absent, |(revision, _)| {
             Condition::Revision(revision)
         });
-        match now(settle(&self.table, "home", condition, next.encode().into())) {
-            Settled::Written(revision) => self.nodes[n].row = Some((revision, Rc::new(next))),
-            Settled::Lost(Some(found)) => self.decode_row(n, found.revision, &found.content),
+        match now(write_with_retry(
+            &self.table,
+            "home",
+            condition,
+            next.encode().into(),
+        )) {
+            WriteOutcome::Written(revision) => self.nodes[n].row = Some((revision, Rc::new(next))),
+            WriteOutcome::Conflict(Some(found)) => {
+                self.decode_row(n, found.revision, &found.content)
+            }
             _ => {}
         }
     }
@@ -151,9 +158,14 @@
         }
         let version = base.next();
         let content = format!("{} {change}", version.get());
-        match now(settle(&self.table, "config", condition, content.into())) {
-            Settled::Written(_) => self.accept(n, version, change),
-            Settled::Unsettled(_) => {
+        match now(write_with_retry(
+            &self.table,
+            "config",
+            condition,
+            content.into(),
+        )) {
+            WriteOutcome::Written(_) => self.accept(n, version, change),
+            WriteOutcome::Unknown(_) => {
                 self.unsettled.push((n, change, base));
                 self.schedule(
                     OUTAGE_MS + 1000,
@@ -164,7 +176,7 @@
                     },
                 );
             }
-            Settled::Lost(_) | Settled::NotSent(_) => {}
+            WriteOutcome::Conflict(_) | WriteOutcome::NotSent(_) => {}
         }
     }
 
--- a/tests/fault_matrix/world/mod.rs
+++ b/tests/fault_matrix/world/mod.rs
@@ -24,7 +24,7 @@
     OnceRefusal, OwnershipRow, StoredAnswer, Successor, check_claim, check_owner, claim_row_key,
     destination, hand_over, plan_ownership,
 };
-use bramleymount::store::{Condition, Revision, Settled, TableStore, settle};
+use bramleymount::store::{Condition, Revision, TableStore, WriteOutcome, write_with_retry};
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/tests/fault_matrix/world/stop.rs
+++ b/tests/fault_matrix/world/stop.rs
@@ -75,9 +75,12 @@
         }
         let next = hand_over(&row, own, Successor(successor));
         let condition = Condition::Revision(revision);
-        if let Settled::Written(revision) =
-            now(settle(&self.table, "home", condition, next.encode().into()))
-        {
+        if let WriteOutcome::Written(revision) = now(write_with_retry(
+            &self.table,
+            "home",
+            condition,
+            next.encode().into(),
+        )) {
             self.nodes[n].row = Some((revision, Rc::new(next)));
         }
     }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -10,7 +10,8 @@
 use bramleymount::emulator::free_address;
 use bramleymount::platform::RowStore;
 use bramleymount::store::{
-    Condition, Feed, FeedError, ObjectStore, Revision, Settled, TableStore, WriteError, settle,
+    Condition, Feed, FeedError, ObjectStore, Revision, TableStore, WriteError, WriteOutcome,
+    write_with_retry,
 };
 use bramleymount::web::Listening;
 use rstest::rstest;
@@ -83,7 +84,7 @@
     let row = changes.changes[0].row.as_ref().expect("a row");
     assert_eq!((&*row.key, &*row.content), ("op/config", &b"two"[..]));
     let none = store
-        .changes("op", changes.at, Duration::from_millis(10))
+        .changes("op", changes.revision, Duration::from_millis(10))
         .await;
     assert!(none.expect("changes").changes.is_empty());
 }
@@ -103,7 +104,7 @@
     let (store, rows, _listening) = store().await;
     rows.set(Trouble::Forgetful);
     let changes = store.changes("op", Revision(1), TIMEOUT).await;
-    assert_eq!(changes, Err(FeedError::Forgotten));
+    assert_eq!(changes, Err(FeedError::HistoryExpired));
 }
 
 #[rstest]
@@ -129,9 +130,9 @@
         tokio::time::sleep(TIMEOUT / 2).await;
         rows.set(Trouble::None);
     };
-    let settled = settle(&store, "t/a", Condition::Absent, "x".into());
+    let settled = write_with_retry(&store, "t/a", Condition::Absent, "x".into());
     let (settled, ()) = tokio::join!(settled, healed);
-    assert!(matches!(settled, Settled::Written(_)), "{settled:?}");
+    assert!(matches!(settled, WriteOutcome::Written(_)), "{settled:?}");
 }
 
 #[tokio::test]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use bramleymount::emulator::free_address;
-use bramleymount::store::{Memory, serve_standin};
+use bramleymount::store::{MemoryPlatform, serve_standin};
 use bramleymount::web::{Answer, Client, Running};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request};
@@ -35,8 +35,8 @@
     }
 }
 
-pub fn platform() -> (SocketAddr, Arc<Memory>, Running) {
-    let memory = Arc::new(Memory::default());
+pub fn platform() -> (SocketAddr, Arc<MemoryPlatform>, Running) {
+    let memory = Arc::new(MemoryPlatform::default());
     let address = free_address().expect("a port");
     let running = serve_standin(address, Arc::clone(&memory)).expect("the stand-in");
     (address, memory, running)
