--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -20,7 +20,7 @@
 use crate::call::{Attempt, Planned, Reason, Refusal, Reply, Sent};
 use crate::model::{AttemptId, Instance, OnceKey, ServiceName};
 use crate::policy::admission::Shed;
-use crate::web::{Chunks, Cut, Payload};
+use crate::web::{Chunks, IncompleteBody, Payload};
 
 /// Timeout for the acknowledgement that a call has arrived. The other daemon
 /// sends it at once, but is paused for 0.1 s when its CPU quota is used up.
@@ -333,7 +333,10 @@
 }
 
 /// Receives a streamed answer, which is complete only if its tail matches.
-async fn receive_chunks(mut frames: Streaming<AnswerFrame>, to: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn receive_chunks(
+    mut frames: Streaming<AnswerFrame>,
+    to: mpsc::Sender<Result<Bytes, IncompleteBody>>,
+) {
     let mut checksum = BodyChecksum::default();
     loop {
         let part = match frames.message().await {
@@ -346,7 +349,7 @@
                 Ok(chunk)
             }
             Some(AnswerPart::Tail(tail)) if checksum.matches(&tail) => Ok(Bytes::new()),
-            _ => Err(Cut),
+            _ => Err(IncompleteBody),
         };
         let last = !matches!(&item, Ok(chunk) if !chunk.is_empty());
         if to.send(item).await.is_err() || last {
--- a/src/web/dial.rs
+++ b/src/web/dialer.rs
@@ -9,24 +9,24 @@
 
 /// How long a connection may carry nothing before the other end is asked
 /// whether it still knows it, and how often.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Questions without an answer after which a connection is closed.
-const KEEPALIVE_TRIES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// How connections to one address are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dial {
+pub struct Dialer {
     /// The other end.
     pub address: SocketAddr,
     /// The address that connections go out from, if not any.
-    pub own: Option<IpAddr>,
+    pub local_ip: Option<IpAddr>,
     /// How long connecting may take.
     pub timeout: Duration,
     /// How long sent bytes may go without an acknowledgement, if bounded.
-    pub unacknowledged: Option<Duration>,
+    pub ack_timeout: Option<Duration>,
 }
 
-impl Dial {
+impl Dialer {
     /// Makes a connection.
     ///
     /// # Errors
@@ -37,34 +37,34 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        if let Some(own) = self.own {
-            socket.bind(SocketAddr::new(own, 0))?;
+        if let Some(local_ip) = self.local_ip {
+            socket.bind(SocketAddr::new(local_ip, 0))?;
         }
         let connecting = socket.connect(self.address);
         let stream = tokio::time::timeout(self.timeout, connecting).await??;
-        self.prepare(&stream)?;
+        self.set_options(&stream)?;
         Ok(stream)
     }
 
-    fn prepare(&self, stream: &TcpStream) -> std::io::Result<()> {
+    fn set_options(&self, stream: &TcpStream) -> std::io::Result<()> {
         // Messages are small and each is waited for.
         stream.set_nodelay(true)?;
         let socket = SockRef::from(stream);
         let keepalive = TcpKeepalive::new()
-            .with_time(KEEPALIVE)
-            .with_interval(KEEPALIVE)
-            .with_retries(KEEPALIVE_TRIES);
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(KEEPALIVE_PROBES);
         socket.set_tcp_keepalive(&keepalive)?;
-        if self.unacknowledged.is_some() {
-            socket.set_tcp_user_timeout(self.unacknowledged)?;
+        if self.ack_timeout.is_some() {
+            socket.set_tcp_user_timeout(self.ack_timeout)?;
         }
         Ok(())
     }
 }
 
 /// Makes connections that go silent for good end within a few seconds.
-pub(super) fn alive_or_closed(connector: &mut HttpConnector) {
-    connector.set_keepalive(Some(KEEPALIVE));
-    connector.set_keepalive_interval(Some(KEEPALIVE));
-    connector.set_keepalive_retries(Some(KEEPALIVE_TRIES));
+pub(super) fn set_keepalive(connector: &mut HttpConnector) {
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
 }
--- a/src/web/in_turn.rs
+++ b/src/web/pipelined_body.rs
@@ -9,30 +9,30 @@
 use parking_lot::Mutex;
 
 use super::pipeline::Pipeline;
-use super::{CallerBody, Cut};
+use super::{CallerBody, IncompleteBody};
 
 /// The body of an answer; once it is dropped, the next request has its turn.
 #[derive(Debug)]
-pub(super) struct InTurn {
+pub(super) struct PipelinedBody {
     body: CallerBody,
     pipeline: Arc<Mutex<Pipeline>>,
 }
 
-impl InTurn {
+impl PipelinedBody {
     /// Makes the body of the answer to the request in hand.
     pub(super) fn new(body: CallerBody, pipeline: Arc<Mutex<Pipeline>>) -> Self {
         Self { body, pipeline }
     }
 }
 
-impl Body for InTurn {
+impl Body for PipelinedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
@@ -45,8 +45,8 @@
     }
 }
 
-impl Drop for InTurn {
+impl Drop for PipelinedBody {
     fn drop(&mut self) {
-        self.pipeline.lock().answered();
+        self.pipeline.lock().record_answer();
     }
 }
