--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -19,7 +19,7 @@
     /// The body is too large.
     TooLarge,
     /// The body ended early.
-    Truncated,
+    Incomplete,
 }
 
 /// Reads a body: whole if it is small or must be buffered, else as a stream.
@@ -50,7 +50,7 @@
     while !large && buffered.len() <= limit {
         match next_chunk(&mut body).await {
             None => return check_length(buffered.freeze(), length),
-            Some(Err(_)) => return Err(BodyError::Truncated),
+            Some(Err(_)) => return Err(BodyError::Incomplete),
             Some(Ok(chunk)) => buffered.extend_from_slice(&chunk),
         }
     }
@@ -78,7 +78,7 @@
 
 fn check_length(bytes: Bytes, length: Option<u64>) -> Result<Payload, BodyError> {
     match length {
-        Some(length) if length != bytes.len() as u64 => Err(BodyError::Truncated),
+        Some(length) if length != bytes.len() as u64 => Err(BodyError::Incomplete),
         _ => Ok(Payload::Whole(bytes)),
     }
 }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -193,7 +193,7 @@
             // Boxed, so that calls to other daemons don't reserve space for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
-            let message = OutgoingCall {
+            let outgoing = OutgoingCall {
                 head: self.head(),
                 granted_retries: grant.retries,
                 body,
@@ -202,7 +202,7 @@
                 notice,
                 may_wait: self.may_wait,
             };
-            peer::send(&self.context.pool, target, attempt, message).await
+            peer::send(&self.context.pool, target, attempt, outgoing).await
         };
         if let Some(crash) = result.as_ref().err().and_then(|refusal| refusal.crash) {
             self.context
--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -203,7 +203,7 @@
         let body = match timeout_at(deadline, read_body(&parts.headers, body, must_buffer)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::TooLarge)) => return refused(Reason::TooLarge),
-            Ok(Err(BodyError::Truncated)) => return refused(Reason::IncompleteRequest),
+            Ok(Err(BodyError::Incomplete)) => return refused(Reason::IncompleteRequest),
             Err(_) => return refused(Reason::Shed(Shed::Deadline)),
         };
         accepted.head.fingerprint = self.fingerprint(accepted, parts, &body);
