--- a/src/entry/handler.rs
+++ b/src/entry/handler.rs
@@ -114,7 +114,7 @@
                 shared.journal.record(
                     call,
                     CallStep::Refused,
-                    StepDetail::Word(refusal.reason().as_str()),
+                    StepDetail::Reason(refusal.reason().as_str()),
                 );
                 let ticket = self.replacement_ticket(&accepted, &refusal);
                 answers.refusal(Some(call), &refusal, ticket.as_ref())
