--- a/src/entry/caller_time.rs
+++ b/src/entry/caller_time.rs
@@ -1,4 +1,4 @@
-//! Timeouts of callers.
+//! The timeout of a caller.
 
 use std::time::Duration;
 
