--- a/tests/version_news.rs
+++ b/tests/version_news.rs
@@ -64,7 +64,7 @@
     wait_version(&[&one, &other], 9).await;
     eventually("all versions", || async {
         let answer = status(&one).await;
-        let is_new = |m: &bramleymount::operator::MemberLine| m.version == Some(Version::new(9));
+        let is_new = |m: &bramleymount::operator::MemberStatus| m.version == Some(Version::new(9));
         (answer.members.len() == 2 && answer.members.iter().all(is_new)).then_some(())
     })
     .await;
