--- a/benches/control.rs
+++ b/benches/control.rs
@@ -36,14 +36,14 @@
 async fn run(size: u32) -> eyre::Result<()> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
     let memory = memory_mb();
-    let mut estate = Site::estate(&dir, 2, 0.1)?;
+    let mut estate = Site::load_scaled(&dir, 2, 0.1)?;
     let services = estate.services.len() as u32;
     for service in estate.services.values_mut() {
         for place in &mut service.servers {
             place.count = size / services / 2;
         }
     }
-    let mut site = Site::start_direct(estate, |_| Behaviour::default()).await?;
+    let mut site = Site::start_without_relays(estate, |_| Behaviour::default()).await?;
     let count = site.servers.len() as f64;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (bytes, cpu, counts) = (loopback_bytes(), cpu::cpu_seconds(), site.platform.counts());
@@ -71,7 +71,7 @@
         service.connections = bramleymount::model::Connections::new(service.connections.get() + 1);
     }
     let start = Instant::now();
-    let version = site.apply().await?;
+    let version = site.apply_estate().await?;
     if let Some(fault) = fault {
         site.platform.set_fault(fault);
     }
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -22,7 +22,7 @@
 
 fn main() -> eyre::Result<()> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let estate = Site::estate(&dir, 2, 1.0)?;
+    let estate = Site::load_scaled(&dir, 2, 1.0)?;
     println!("members change_us neighbours_us delegate_us page_us routes_us ring_us");
     for members in [30, 100, 300, 1000, 5300] {
         let columns = measure(&estate, members);
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -8,7 +8,7 @@
 /// known which way a call takes; answers have `answer` bytes.
 pub(crate) async fn one_of_each(answer: usize) -> eyre::Result<Site> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let mut estate = Site::estate(&dir, 2, 1.0)?;
+    let mut estate = Site::load_scaled(&dir, 2, 1.0)?;
     estate.services.retain(|name, _| {
         matches!(
             name.as_str(),
@@ -19,8 +19,8 @@
         service.depends.clear();
         service.servers.truncate(1);
     }
-    let site = Site::start_direct(estate, |_| Behaviour {
-        answer,
+    let site = Site::start_without_relays(estate, |_| Behaviour {
+        answer_bytes: answer,
         ..Behaviour::default()
     });
     Ok(site.await?)
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -12,13 +12,13 @@
 
 use argh::FromArgs;
 use bramleymount::config::{LogFormat, LogLevel, init_log};
-use bramleymount::emulator::{Behaviour, Site, Tally, run_load};
+use bramleymount::emulator::{Behaviour, SampleLog, Site, run_workload};
 use bramleymount::model::ServiceName;
 use eyre::WrapErr;
 use tokio::time::Instant;
 
 use report::Report;
-use scenario::{Kind, Phase, Scenario, kinds};
+use scenario::{Phase, RequestKind, Scenario, request_kinds};
 
 /// Shows an estate of daemons through a surge, a slowed service, a drained
 /// server and a data centre that is cut off.
@@ -48,10 +48,10 @@
         .enable_all()
         .build()
         .wrap_err("cannot start threads")?;
-    let sound = runtime.block_on(run(&args))?;
+    let is_correct = runtime.block_on(run(&args))?;
     // Daemons are left as they are: the process ends with them.
     runtime.shutdown_background();
-    Ok(if sound {
+    Ok(if is_correct {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -60,22 +60,22 @@
 
 async fn run(args: &Args) -> eyre::Result<bool> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let estate = Site::estate(&dir, 2, args.scale)?;
+    let estate = Site::load_scaled(&dir, 2, args.scale)?;
     let site = Site::start(estate, behaviour).await?;
-    say(
+    print_progress(
         args,
         &format!("{} daemons in 2 data centres", site.servers.len()),
     );
     let phases = args.scenario.phases();
     let start = Instant::now();
     let total: Duration = phases.iter().map(|p| p.length).sum();
-    let loads = start_loads(args, &site, &phases, start);
-    drive(args, &site, &phases, start).await;
+    let workloads = start_workloads(args, &site, &phases, start);
+    run_phases(args, &site, &phases, start).await;
     tokio::time::sleep_until(start + total).await;
     let mut classes = Vec::new();
-    for (kind, tally, task) in loads {
+    for (kind, samples, task) in workloads {
         task.await?;
-        classes.push((kind, tally));
+        classes.push((kind, samples));
     }
     // Requests sent last may still be under way.
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -85,10 +85,10 @@
     } else {
         print!("{report}");
     }
-    Ok(report.is_sound())
+    Ok(report.is_correct())
 }
 
-fn say(args: &Args, text: &str) {
+fn print_progress(args: &Args, text: &str) {
     if !args.json {
         println!("{text}");
     }
@@ -101,51 +101,55 @@
     };
     Behaviour {
         service_time,
-        answer: 1024,
-        onward: Vec::new(),
+        answer_bytes: 1024,
+        onward_calls: Vec::new(),
     }
 }
 
-type Loads = Vec<(Kind, Arc<Tally>, tokio::task::JoinHandle<()>)>;
+type RunningWorkloads = Vec<(RequestKind, Arc<SampleLog>, tokio::task::JoinHandle<()>)>;
 
-fn start_loads(args: &Args, site: &Site, phases: &[Phase], start: Instant) -> Loads {
+fn start_workloads(args: &Args, site: &Site, phases: &[Phase], start: Instant) -> RunningWorkloads {
     let entries = Arc::new(site.servers.iter().map(|s| s.callers).collect::<Vec<_>>());
     let total: Duration = phases.iter().map(|p| p.length).sum();
-    kinds(args.scale)
+    request_kinds(args.scale)
         .into_iter()
         .enumerate()
-        .map(|(place, kind)| {
-            let tally = Arc::new(Tally::default());
+        .map(|(index, kind)| {
+            let samples = Arc::new(SampleLog::default());
             let phases = phases.to_vec();
             let base = kind.rate;
             let rate = move |now: Instant| {
-                let factor = Phase::at(&phases, now - start).map_or(1.0, |p| p.demand);
+                let factor = Phase::at(&phases, now - start).map_or(1.0, |p| p.demand_factor);
                 base * factor
             };
-            let task = tokio::spawn(run_load(
-                kind.load.clone(),
+            let task = tokio::spawn(run_workload(
+                kind.workload.clone(),
                 Arc::clone(&entries),
                 rate,
                 start + total,
-                args.seed * 100 + place as u64,
-                Arc::clone(&tally),
+                args.seed * 100 + index as u64,
+                Arc::clone(&samples),
             ));
-            (kind, tally, task)
+            (kind, samples, task)
         })
         .collect()
 }
 
-async fn drive(args: &Args, site: &Site, phases: &[Phase], start: Instant) {
-    let mut begin = start;
+async fn run_phases(args: &Args, site: &Site, phases: &[Phase], start: Instant) {
+    let mut phase_start = start;
     for phase in phases {
-        tokio::time::sleep_until(begin).await;
-        say(
+        tokio::time::sleep_until(phase_start).await;
+        print_progress(
             args,
-            &format!("{:>5.1} s  {}", (begin - start).as_secs_f64(), phase.name),
+            &format!(
+                "{:>5.1} s  {}",
+                (phase_start - start).as_secs_f64(),
+                phase.name
+            ),
         );
         phase.enter(site);
-        begin += phase.length;
-        tokio::time::sleep_until(begin).await;
+        phase_start += phase.length;
+        tokio::time::sleep_until(phase_start).await;
         phase.leave(site);
     }
 }
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -4,22 +4,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bramleymount::emulator::{Sample, Seen, Site, Tally};
+use bramleymount::emulator::{CallerOutcome, Sample, SampleLog, Site};
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::scenario::{Event, Kind, Phase};
+use crate::scenario::{Event, Phase, RequestKind};
 
 /// Shortest window in which goodput is looked at.
-const WINDOW: Duration = Duration::from_millis(250);
+const MIN_WINDOW: Duration = Duration::from_millis(250);
 /// Requests that a window must hold.
-const ENOUGH: f64 = 20.0;
+const MIN_WINDOW_REQUESTS: f64 = 20.0;
 /// Share of requests answered whole that counts as back to normal.
-const NORMAL: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 
 /// One class of work.
 #[derive(Serialize)]
-pub(crate) struct Row {
+pub(crate) struct ClassRow {
     class: &'static str,
     sent: usize,
     whole: usize,
@@ -37,45 +37,45 @@
 /// The whole table.
 #[derive(Serialize)]
 pub(crate) struct Report {
-    rows: Vec<Row>,
+    rows: Vec<ClassRow>,
 }
 
 impl Report {
     pub(crate) fn new(
         site: &Site,
-        classes: &[(Kind, Arc<Tally>)],
+        classes: &[(RequestKind, Arc<SampleLog>)],
         phases: &[Phase],
         start: Instant,
     ) -> Self {
         let rows = classes
             .iter()
-            .map(|(kind, tally)| {
-                let samples = tally.samples();
-                let count = |seen| samples.iter().filter(|s| s.seen == seen).count();
+            .map(|(kind, log)| {
+                let samples = log.samples();
+                let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count();
                 let mut latencies: Vec<f64> = samples
                     .iter()
-                    .filter(|s| s.seen == Seen::Whole)
-                    .map(|s| (s.ended - s.sent).as_secs_f64() * 1000.0)
+                    .filter(|s| s.outcome == CallerOutcome::Complete)
+                    .map(|s| (s.end - s.start).as_secs_f64() * 1000.0)
                     .collect();
                 latencies.sort_by(f64::total_cmp);
                 let quantile = |q: f64| {
-                    let place = (latencies.len() as f64 * q) as usize;
+                    let index = (latencies.len() as f64 * q) as usize;
                     latencies
-                        .get(place.min(latencies.len().saturating_sub(1)))
+                        .get(index.min(latencies.len().saturating_sub(1)))
                         .copied()
                         .unwrap_or(0.0)
                 };
-                Row {
+                ClassRow {
                     class: kind.class,
                     sent: samples.len(),
-                    whole: count(Seen::Whole),
-                    shed: count(Seen::Shed),
-                    failed: count(Seen::Failed),
-                    wrong: count(Seen::Wrong),
+                    whole: count(CallerOutcome::Complete),
+                    shed: count(CallerOutcome::Shed),
+                    failed: count(CallerOutcome::Failed),
+                    wrong: count(CallerOutcome::Wrong),
                     run_twice: run_twice(site, kind),
                     p50_ms: quantile(0.5),
                     p99_ms: quantile(0.99),
-                    recovery_s: recovery(&samples, kind.rate, phases, start),
+                    recovery_s: longest_recovery(&samples, kind.rate, phases, start),
                 }
             })
             .collect();
@@ -83,51 +83,59 @@
     }
 
     /// Tells whether no answer was wrong and no once call ran twice.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_correct(&self) -> bool {
         self.rows.iter().all(|r| r.wrong == 0 && r.run_twice == 0)
     }
 }
 
 /// Counts keys that ran more than once, over all servers of the service.
-fn run_twice(site: &Site, kind: &Kind) -> usize {
+fn run_twice(site: &Site, kind: &RequestKind) -> usize {
     let mut runs = std::collections::HashMap::new();
     let servers = site
         .servers
         .iter()
-        .filter(|s| s.service == kind.load.service);
-    for (key, count) in servers.flat_map(|s| s.backend.runs()) {
+        .filter(|s| s.service == kind.workload.service);
+    for (key, count) in servers.flat_map(|s| s.backend.runs_by_key()) {
         *runs.entry(key).or_insert(0) += count;
     }
     runs.values().filter(|count| **count > 1).count()
 }
 
-fn recovery(samples: &[Sample], rate: f64, phases: &[Phase], start: Instant) -> f64 {
-    let window = WINDOW.max(Duration::from_secs_f64(ENOUGH / rate));
+fn longest_recovery(samples: &[Sample], rate: f64, phases: &[Phase], start: Instant) -> f64 {
+    let window = MIN_WINDOW.max(Duration::from_secs_f64(MIN_WINDOW_REQUESTS / rate));
     let mut end = start;
-    let mut worst = Duration::ZERO;
+    let mut longest = Duration::ZERO;
     for pair in phases.windows(2) {
         end += pair[0].length;
         if pair[0].event != Event::None {
-            worst = worst.max(time_to_normal(samples, window, end, end + pair[1].length));
+            longest = longest.max(time_to_recovery(samples, window, end, end + pair[1].length));
         }
     }
-    worst.as_secs_f64()
+    longest.as_secs_f64()
 }
 
 /// Returns the end of the last window after `from` that was not normal.
-fn time_to_normal(samples: &[Sample], window: Duration, from: Instant, until: Instant) -> Duration {
+fn time_to_recovery(
+    samples: &[Sample],
+    window: Duration,
+    from: Instant,
+    until: Instant,
+) -> Duration {
     let mut last = Duration::ZERO;
-    let mut begin = from;
-    while begin < until {
+    let mut window_start = from;
+    while window_start < until {
         let sent: Vec<&Sample> = samples
             .iter()
-            .filter(|s| s.sent >= begin && s.sent < begin + window)
+            .filter(|s| s.start >= window_start && s.start < window_start + window)
             .collect();
-        let whole = sent.iter().filter(|s| s.seen == Seen::Whole).count();
-        if (whole as f64) < sent.len() as f64 * NORMAL {
-            last = begin + window - from;
+        let whole = sent
+            .iter()
+            .filter(|s| s.outcome == CallerOutcome::Complete)
+            .count();
+        if (whole as f64) < sent.len() as f64 * RECOVERED_SHARE {
+            last = window_start + window - from;
         }
-        begin += window;
+        window_start += window;
     }
     last
 }
--- a/examples/demo/scenario.rs
+++ b/examples/demo/scenario.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use bramleymount::emulator::{Load, Site, Zone};
+use bramleymount::emulator::{Site, Workload, Zone};
 use bramleymount::error::Error;
 use bramleymount::model::ServiceName;
 use http::Method;
@@ -53,16 +53,16 @@
 pub(crate) struct Phase {
     pub(crate) name: &'static str,
     pub(crate) length: Duration,
-    pub(crate) demand: f64,
+    pub(crate) demand_factor: f64,
     pub(crate) event: Event,
 }
 
 impl Phase {
-    fn new(name: &'static str, secs: u64, demand: f64, event: Event) -> Self {
+    fn new(name: &'static str, secs: u64, demand_factor: f64, event: Event) -> Self {
         Self {
             name,
             length: Duration::from_secs(secs),
-            demand,
+            demand_factor,
             event,
         }
     }
@@ -79,22 +79,22 @@
     pub(crate) fn enter(&self, site: &Site) {
         match self.event {
             Event::None | Event::Surge => {}
-            Event::Slow => slow(site, 5),
+            Event::Slow => set_slowdown(site, 5),
             Event::Drain => {
-                if let Some(server) = archive(site) {
+                if let Some(server) = archive_server(site) {
                     server.daemon.guard().drain();
                 }
             }
-            Event::Cut => site.network.cut(Zone::new(1), Zone::new(2)),
+            Event::Cut => site.network.partition(Zone::new(1), Zone::new(2)),
         }
     }
 
     pub(crate) fn leave(&self, site: &Site) {
         match self.event {
             Event::None | Event::Surge => {}
-            Event::Slow => slow(site, 1),
+            Event::Slow => set_slowdown(site, 1),
             Event::Drain => {
-                if let Some(server) = archive(site) {
+                if let Some(server) = archive_server(site) {
                     server.daemon.guard().renew_lease(false);
                 }
             }
@@ -103,18 +103,18 @@
     }
 }
 
-fn slow(site: &Site, factor: u32) {
+fn set_slowdown(site: &Site, factor: u32) {
     let status = site
         .servers
         .iter()
         .filter(|s| s.service.as_str() == "station-status");
     for server in status {
         let time = Duration::from_millis(10) * factor;
-        server.backend.change(|b| b.service_time = time);
+        server.backend.change_behaviour(|b| b.service_time = time);
     }
 }
 
-fn archive(site: &Site) -> Option<&bramleymount::emulator::Server> {
+fn archive_server(site: &Site) -> Option<&bramleymount::emulator::Server> {
     site.servers
         .iter()
         .find(|s| s.service.as_str() == "forecast-archive")
@@ -151,26 +151,26 @@
 }
 
 /// One kind of request with its rate.
-pub(crate) struct Kind {
+pub(crate) struct RequestKind {
     pub(crate) class: &'static str,
-    pub(crate) load: Load,
+    pub(crate) workload: Workload,
     pub(crate) rate: f64,
 }
 
 /// Returns what the callers ask for in calm times.
-pub(crate) fn kinds(scale: f64) -> Vec<Kind> {
-    let kind = |class, service: &str, method, path: &str, once, body, rate: f64| {
+pub(crate) fn request_kinds(scale: f64) -> Vec<RequestKind> {
+    let kind = |class, service: &str, method, path: &str, with_key, body_bytes, rate: f64| {
         let service: Option<ServiceName> = service.parse().ok();
-        service.map(|service| Kind {
+        service.map(|service| RequestKind {
             class,
-            load: Load {
+            workload: Workload {
                 service,
                 method,
                 path: path.into(),
-                once,
-                body,
-                answer: 1024,
-                repeats: 2,
+                with_key,
+                body_bytes,
+                answer_bytes: 1024,
+                max_retries: 2,
             },
             rate: rate * scale,
         })
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -13,7 +13,7 @@
 use crate::backend::Backend;
 use crate::estate::document;
 use crate::proxy::{Mode, Proxy};
-use crate::rows::{RowsStandIn, Trouble};
+use crate::rows::{RowsFault, RowsStandIn};
 use crate::vm::{GRACE, Signal, Span, Vm};
 
 /// How much longer than its grace a daemon is waited for.
@@ -37,7 +37,7 @@
     Pause,
     HangUp,
     Cut(Mode),
-    Store(Trouble),
+    Store(RowsFault),
     /// The backend server crashes and is back, perhaps under its id.
     Crash {
         same_id: bool,
@@ -65,9 +65,9 @@
     Fault::Cut(Mode::Silent),
     Fault::Cut(Mode::OneWay),
     Fault::Cut(Mode::Reset),
-    Fault::Store(Trouble::Busy),
-    Fault::Store(Trouble::Silent),
-    Fault::Store(Trouble::LoseAnswers),
+    Fault::Store(RowsFault::Busy),
+    Fault::Store(RowsFault::Silent),
+    Fault::Store(RowsFault::LoseAnswers),
     Fault::Crash { same_id: true },
     Fault::Crash { same_id: false },
     Fault::Replace,
@@ -194,11 +194,11 @@
         self.vms[vm].calm(place);
     }
 
-    async fn trouble(&self, trouble: Trouble, time: Duration) {
+    async fn trouble(&self, trouble: RowsFault, time: Duration) {
         self.store_spans.lock().push((Instant::now(), None));
-        self.store.set(trouble);
+        self.store.set_fault(trouble);
         tokio::time::sleep(time).await;
-        self.store.set(Trouble::None);
+        self.store.set_fault(RowsFault::None);
         if let Some(span) = self.store_spans.lock().last_mut() {
             span.1 = Some(Instant::now());
         }
--- a/src/emulator/backend.rs
+++ b/src/emulator/backend.rs
@@ -19,17 +19,17 @@
 use crate::web::{Client, HttpRequest, HttpResponse, Running, answer_text, serve};
 
 /// The header that an emulated backend server gives back in its answer.
-pub const TAG: HeaderName = HeaderName::from_static("x-tag");
+pub const TAG_HEADER: HeaderName = HeaderName::from_static("x-tag");
 /// The header with the idempotency key.
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 /// How long a daemon may take to answer an onward call.
-const ONWARD_TIMEOUT: Duration = Duration::from_secs(5);
+const ONWARD_CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest answer to an onward call, in bytes.
-const MAX_ANSWER: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// A call that a backend server makes for each of its own.
 #[derive(Clone, Debug)]
-pub struct Onward {
+pub struct OnwardCall {
     /// The service that is called.
     pub service: ServiceName,
     /// The path.
@@ -42,33 +42,33 @@
     /// How long a call takes, besides its onward calls.
     pub service_time: Duration,
     /// Size of the answer, in bytes.
-    pub answer: usize,
+    pub answer_bytes: usize,
     /// The calls it makes for each of its own.
-    pub onward: Vec<Onward>,
+    pub onward_calls: Vec<OnwardCall>,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         Self {
             service_time: Duration::ZERO,
-            answer: 64,
-            onward: Vec::new(),
+            answer_bytes: 64,
+            onward_calls: Vec::new(),
         }
     }
 }
 
-struct State {
+struct BackendState {
     slots: Semaphore,
     behaviour: Mutex<Behaviour>,
-    runs: Mutex<HashMap<Box<str>, u32>>,
-    received: Mutex<u64>,
+    runs_by_key: Mutex<HashMap<Box<str>, u32>>,
+    received_bytes: Mutex<u64>,
     daemon: SocketAddr,
     client: Client,
 }
 
 /// A running backend server.
 pub struct BackendServer {
-    state: Arc<State>,
+    state: Arc<BackendState>,
     _running: Running,
 }
 
@@ -84,13 +84,13 @@
         slots: usize,
         behaviour: Behaviour,
     ) -> Result<Self, Error> {
-        let state = Arc::new(State {
+        let state = Arc::new(BackendState {
             slots: Semaphore::new(slots),
             behaviour: Mutex::new(behaviour),
-            runs: Mutex::default(),
-            received: Mutex::default(),
+            runs_by_key: Mutex::default(),
+            received_bytes: Mutex::default(),
             daemon,
-            client: Client::new(ONWARD_TIMEOUT, MAX_ANSWER),
+            client: Client::new(ONWARD_CALL_TIMEOUT, MAX_ANSWER_BYTES),
         });
         let shared = Arc::clone(&state);
         let running = serve(address, 1, move |request| {
@@ -104,61 +104,72 @@
     }
 
     /// Changes how it behaves from now on.
-    pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
+    pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.state.behaviour.lock());
     }
 
     /// Returns how often each idempotency key ran.
-    pub fn runs(&self) -> HashMap<Box<str>, u32> {
-        self.state.runs.lock().clone()
+    pub fn runs_by_key(&self) -> HashMap<Box<str>, u32> {
+        self.state.runs_by_key.lock().clone()
     }
 
     /// Returns the bytes of bodies received so far.
-    pub fn received(&self) -> u64 {
-        *self.state.received.lock()
+    pub fn received_bytes(&self) -> u64 {
+        *self.state.received_bytes.lock()
     }
 }
 
-impl State {
+impl BackendState {
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
         let (head, ext) = request.into_parts();
         let (_, body) = ext.replace_body(());
         let Ok(_slot) = self.slots.acquire().await else {
             return answer_text(StatusCode::SERVICE_UNAVAILABLE, "closed");
         };
-        if let Some(key) = head.headers.get(KEY).and_then(|key| key.to_str().ok()) {
-            *self.runs.lock().entry(key.into()).or_default() += 1;
+        if let Some(key) = head
+            .headers
+            .get(KEY_HEADER)
+            .and_then(|key| key.to_str().ok())
+        {
+            *self.runs_by_key.lock().entry(key.into()).or_default() += 1;
         }
-        if !self.take(body).await {
+        if !self.receive_body(body).await {
             return answer_text(StatusCode::BAD_REQUEST, "the body was cut");
         }
         let behaviour = self.behaviour.lock().clone();
         if !behaviour.service_time.is_zero() {
             tokio::time::sleep(behaviour.service_time).await;
         }
-        for onward in &behaviour.onward {
-            if let Err(status) = self.call(onward, head.headers.get(CALL_HEADER)).await {
+        for onward in &behaviour.onward_calls {
+            if let Err(status) = self
+                .make_onward_call(onward, head.headers.get(CALL_HEADER))
+                .await
+            {
                 return answer_text(status, "an onward call failed");
             }
         }
-        let mut answer = HttpResponse::new(ResponseBody::bytes(vec![b'x'; behaviour.answer]));
-        if let Some(tag) = head.headers.get(TAG) {
-            answer.headers_mut().insert(TAG, tag.clone());
+        let mut answer = HttpResponse::new(ResponseBody::bytes(vec![b'x'; behaviour.answer_bytes]));
+        if let Some(tag) = head.headers.get(TAG_HEADER) {
+            answer.headers_mut().insert(TAG_HEADER, tag.clone());
         }
         answer
     }
 
-    async fn take(&self, mut body: RequestBody) -> bool {
+    async fn receive_body(&self, mut body: RequestBody) -> bool {
         while let Some(chunk) = body.data().await {
             match chunk {
-                Ok(chunk) => *self.received.lock() += chunk.len() as u64,
+                Ok(chunk) => *self.received_bytes.lock() += chunk.len() as u64,
                 Err(_) => return false,
             }
         }
         true
     }
 
-    async fn call(&self, onward: &Onward, call: Option<&HeaderValue>) -> Result<(), StatusCode> {
+    async fn make_onward_call(
+        &self,
+        onward: &OnwardCall,
+        call: Option<&HeaderValue>,
+    ) -> Result<(), StatusCode> {
         let uri = format!("http://{}{}", self.daemon, onward.path);
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.method_mut() = Method::GET;
--- a/src/emulator/caller.rs
+++ b/src/emulator/caller.rs
@@ -13,19 +13,19 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use super::TAG;
+use super::TAG_HEADER;
 use crate::entry::{REASON_HEADER, VERDICT_HEADER};
 use crate::model::ServiceName;
 use crate::web::{Answer, Client};
 
 /// Calls that one load may have out; more are counted as shed by the caller.
-const MAX_OUT: usize = 4096;
+const MAX_CONCURRENT_REQUESTS: usize = 4096;
 
 /// What a caller saw of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallerOutcome {
     /// The whole answer to its own request.
-    Whole,
+    Complete,
     /// It was told that the request was shed.
     Shed,
     /// It was told of a failure.
@@ -38,20 +38,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// When it was sent.
-    pub sent: Instant,
+    pub start: Instant,
     /// When it ended.
-    pub ended: Instant,
+    pub end: Instant,
     /// What the caller saw.
-    pub seen: Seen,
+    pub outcome: CallerOutcome,
 }
 
 /// All requests of one load.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct SampleLog {
     samples: Mutex<Vec<Sample>>,
 }
 
-impl Tally {
+impl SampleLog {
     /// Returns the samples so far.
     pub fn samples(&self) -> Vec<Sample> {
         self.samples.lock().clone()
@@ -64,7 +64,7 @@
 
 /// A load of one kind of request.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct Workload {
     /// The service.
     pub service: ServiceName,
     /// The method.
@@ -72,93 +72,100 @@
     /// The path.
     pub path: Box<str>,
     /// Whether each request bears an idempotency key.
-    pub once: bool,
+    pub with_key: bool,
     /// Size of the body, in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Bytes that a whole answer has.
-    pub answer: usize,
+    pub answer_bytes: usize,
     /// How often a request that was not run is sent again, without back-off.
-    pub repeats: u32,
+    pub max_retries: u32,
 }
 
 /// Sends requests at `rate` a second, which may change, until `stop` is due.
 ///
 /// Requests are sent whether or not earlier ones have ended, to one of
 /// `entries` at random.
-pub async fn run_load(
-    load: Load,
+pub async fn run_workload(
+    workload: Workload,
     entries: Arc<Vec<SocketAddr>>,
     rate: impl Fn(Instant) -> f64,
     stop: Instant,
     seed: u64,
-    tally: Arc<Tally>,
+    samples: Arc<SampleLog>,
 ) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let client = Client::new(Duration::from_secs(5), 16 * 1024 * 1024);
-    let load = Arc::new(load);
+    let workload = Arc::new(workload);
     let mut next = Instant::now();
     let mut number: u64 = 0;
     while next < stop {
         tokio::time::sleep_until(next).await;
-        let now_rate = rate(next).max(0.1);
-        let gap = -rng.random::<f64>().max(1e-9).ln() / now_rate;
+        let current_rate = rate(next).max(0.1);
+        let gap = -rng.random::<f64>().max(1e-9).ln() / current_rate;
         next += Duration::from_secs_f64(gap.min(1.0));
         number += 1;
-        let place = rng.random_range(0..entries.len());
-        let request = One {
-            load: Arc::clone(&load),
-            entry: entries[place],
-            tag: format!("{}-{seed}-{number}", load.service),
+        let index = rng.random_range(0..entries.len());
+        let request = TaggedRequest {
+            workload: Arc::clone(&workload),
+            entry: entries[index],
+            tag: format!("{}-{seed}-{number}", workload.service),
         };
-        let (client, tally) = (client.clone(), Arc::clone(&tally));
-        if Arc::strong_count(&tally) > MAX_OUT {
+        let (client, samples) = (client.clone(), Arc::clone(&samples));
+        if Arc::strong_count(&samples) > MAX_CONCURRENT_REQUESTS {
             continue;
         }
         tokio::spawn(async move {
-            let sent = Instant::now();
-            let seen = request.run(&client).await;
-            let ended = Instant::now();
-            tally.add(Sample { sent, ended, seen });
+            let start = Instant::now();
+            let outcome = request.send(&client).await;
+            let end = Instant::now();
+            samples.add(Sample {
+                start,
+                end,
+                outcome,
+            });
         });
     }
 }
 
-struct One {
-    load: Arc<Load>,
+struct TaggedRequest {
+    workload: Arc<Workload>,
     entry: SocketAddr,
     tag: String,
 }
 
-impl One {
-    async fn run(&self, client: &Client) -> Seen {
-        let key = self.load.once.then(|| uuid::Uuid::now_v7().to_string());
-        let mut seen = Seen::Failed;
-        for attempt in 0..=self.load.repeats {
-            let Some(request) = self.request(key.as_deref(), attempt + 1) else {
-                return Seen::Failed;
+impl TaggedRequest {
+    async fn send(&self, client: &Client) -> CallerOutcome {
+        let key = self
+            .workload
+            .with_key
+            .then(|| uuid::Uuid::now_v7().to_string());
+        let mut outcome = CallerOutcome::Failed;
+        for attempt in 0..=self.workload.max_retries {
+            let Some(request) = self.build_request(key.as_deref(), attempt + 1) else {
+                return CallerOutcome::Failed;
             };
-            seen = match client.send(request).await {
-                Ok(answer) => self.judge(&answer),
-                Err(_) => Seen::Failed,
+            outcome = match client.send(request).await {
+                Ok(answer) => self.classify(&answer),
+                Err(_) => CallerOutcome::Failed,
             };
-            if matches!(seen, Seen::Whole | Seen::Wrong) {
-                return seen;
+            if matches!(outcome, CallerOutcome::Complete | CallerOutcome::Wrong) {
+                return outcome;
             }
         }
-        seen
+        outcome
     }
 
-    fn request(&self, key: Option<&str>, attempt: u32) -> Option<Request<Full<Bytes>>> {
-        let uri = format!("http://{}{}", self.entry, self.load.path);
-        let mut request = Request::new(Full::new(vec![b'y'; self.load.body].into()));
-        *request.method_mut() = self.load.method.clone();
+    fn build_request(&self, key: Option<&str>, attempt: u32) -> Option<Request<Full<Bytes>>> {
+        let uri = format!("http://{}{}", self.entry, self.workload.path);
+        let mut request = Request::new(Full::new(vec![b'y'; self.workload.body_bytes].into()));
+        *request.method_mut() = self.workload.method.clone();
         *request.uri_mut() = uri.parse().ok()?;
         let headers = request.headers_mut();
         headers.insert(
             HOST,
-            HeaderValue::from_str(self.load.service.as_str()).ok()?,
+            HeaderValue::from_str(self.workload.service.as_str()).ok()?,
         );
-        headers.insert(TAG, HeaderValue::from_str(&self.tag).ok()?);
+        headers.insert(TAG_HEADER, HeaderValue::from_str(&self.tag).ok()?);
         headers.insert(crate::entry::ATTEMPT_HEADER, HeaderValue::from(attempt));
         if let Some(key) = key {
             let name = HeaderName::from_static("idempotency-key");
@@ -167,25 +174,28 @@
         Some(request)
     }
 
-    fn judge(&self, answer: &Answer) -> Seen {
+    fn classify(&self, answer: &Answer) -> CallerOutcome {
         if answer.headers.contains_key(VERDICT_HEADER) {
             let reason = answer
                 .headers
                 .get(REASON_HEADER)
                 .and_then(|r| r.to_str().ok());
             return match reason {
-                Some("overload" | "downstream-overload" | "deadline") => Seen::Shed,
-                _ => Seen::Failed,
+                Some("overload" | "downstream-overload" | "deadline") => CallerOutcome::Shed,
+                _ => CallerOutcome::Failed,
             };
         }
         if !answer.status.is_success() {
-            return Seen::Failed;
+            return CallerOutcome::Failed;
         }
-        let own = answer.headers.get(TAG).is_some_and(|tag| tag == &*self.tag);
-        if own && answer.body.len() == self.load.answer {
-            Seen::Whole
+        let own = answer
+            .headers
+            .get(TAG_HEADER)
+            .is_some_and(|tag| tag == &*self.tag);
+        if own && answer.body.len() == self.workload.answer_bytes {
+            CallerOutcome::Complete
         } else {
-            Seen::Wrong
+            CallerOutcome::Wrong
         }
     }
 }
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -8,8 +8,8 @@
 mod relay;
 mod site;
 
-pub use backend::{BackendServer, Behaviour, Onward, TAG};
-pub use caller::{Load, Sample, Seen, Tally, run_load};
+pub use backend::{BackendServer, Behaviour, OnwardCall, TAG_HEADER};
+pub use caller::{CallerOutcome, Sample, SampleLog, Workload, run_workload};
 pub use network::{Network, Zone};
 pub use ports::{free_address, free_address_on};
 pub use relay::Relay;
--- a/src/emulator/network.rs
+++ b/src/emulator/network.rs
@@ -21,7 +21,7 @@
     }
 
     /// Returns the zone of an address.
-    pub fn of(ip: IpAddr) -> Self {
+    pub fn from_ip(ip: IpAddr) -> Self {
         match ip {
             IpAddr::V4(ip) => Self(ip.octets()[2]),
             IpAddr::V6(_) => Self(0),
@@ -29,30 +29,30 @@
     }
 }
 
-/// The cuts in force.
+/// The partitions in force.
 #[derive(Debug, Default)]
 pub struct Network {
-    cuts: RwLock<BTreeSet<(Zone, Zone)>>,
+    partitions: RwLock<BTreeSet<(Zone, Zone)>>,
 }
 
 impl Network {
     /// Cuts two zones off from each other; open connections go silent for
     /// good, and new ones get no answer.
-    pub fn cut(&self, a: Zone, b: Zone) {
-        self.cuts.write().insert(pair(a, b));
+    pub fn partition(&self, a: Zone, b: Zone) {
+        self.partitions.write().insert(ordered_pair(a, b));
     }
 
     /// Joins two zones again, for new connections.
     pub fn heal(&self, a: Zone, b: Zone) {
-        self.cuts.write().remove(&pair(a, b));
+        self.partitions.write().remove(&ordered_pair(a, b));
     }
 
     /// Tells whether two zones are cut off from each other.
-    pub fn is_cut(&self, a: Zone, b: Zone) -> bool {
-        self.cuts.read().contains(&pair(a, b))
+    pub fn is_partitioned(&self, a: Zone, b: Zone) -> bool {
+        self.partitions.read().contains(&ordered_pair(a, b))
     }
 }
 
-fn pair(a: Zone, b: Zone) -> (Zone, Zone) {
+fn ordered_pair(a: Zone, b: Zone) -> (Zone, Zone) {
     (a.min(b), a.max(b))
 }
--- a/src/emulator/ports.rs
+++ b/src/emulator/ports.rs
@@ -7,12 +7,12 @@
 
 /// The ports that are given out; below those that the system gives to
 /// connections, which could take a port before it is listened on.
-const FIRST: u16 = 10_000;
-const COUNT: u16 = 20_000;
+const FIRST_PORT: u16 = 10_000;
+const PORT_COUNT: u16 = 20_000;
 /// Ports by which processes that run at the same time start apart.
-const APART: u32 = 997;
+const PROCESS_STRIDE: u32 = 997;
 
-static NEXT: AtomicU16 = AtomicU16::new(0);
+static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
 /// Returns an address on loopback that nothing listens on.
 ///
@@ -31,11 +31,11 @@
 ///
 /// Fails if no port is free.
 pub fn free_address_on(ip: IpAddr) -> Result<SocketAddr, Error> {
-    let start = std::process::id().wrapping_mul(APART) % u32::from(COUNT);
-    for _ in 0..COUNT {
-        let turn = u32::from(NEXT.fetch_add(1, Ordering::Relaxed));
-        let offset = (start + turn) % u32::from(COUNT);
-        let address = SocketAddr::new(ip, FIRST + offset as u16);
+    let start = std::process::id().wrapping_mul(PROCESS_STRIDE) % u32::from(PORT_COUNT);
+    for _ in 0..PORT_COUNT {
+        let next = u32::from(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed));
+        let offset = (start + next) % u32::from(PORT_COUNT);
+        let address = SocketAddr::new(ip, FIRST_PORT + offset as u16);
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
         }
--- a/src/emulator/relay.rs
+++ b/src/emulator/relay.rs
@@ -12,7 +12,7 @@
 use crate::error::Error;
 
 /// Bytes read at once.
-const BUFFER: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Passes connections on, unless the two sides are cut off from each other.
 #[derive(Debug)]
@@ -57,26 +57,26 @@
     }
 }
 
-async fn relay(inner: TcpStream, from: SocketAddr, target: SocketAddr, network: &Network) {
-    let between = (Zone::of(from.ip()), Zone::of(target.ip()));
-    if network.is_cut(between.0, between.1) {
-        return hang(inner).await;
+async fn relay(accepted: TcpStream, from: SocketAddr, target: SocketAddr, network: &Network) {
+    let zones = (Zone::from_ip(from.ip()), Zone::from_ip(target.ip()));
+    if network.is_partitioned(zones.0, zones.1) {
+        return read_until_closed(accepted).await;
     }
-    let Ok(outer) = TcpStream::connect(target).await else {
+    let Ok(connected) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = inner.set_nodelay(true);
-    let _ = outer.set_nodelay(true);
-    let (inner_read, inner_write) = inner.into_split();
-    let (outer_read, outer_write) = outer.into_split();
+    let _ = accepted.set_nodelay(true);
+    let _ = connected.set_nodelay(true);
+    let (accepted_read, accepted_write) = accepted.into_split();
+    let (connected_read, connected_write) = connected.into_split();
     tokio::join!(
-        copy(inner_read, outer_write, between, network),
-        copy(outer_read, inner_write, between, network),
+        copy(accepted_read, connected_write, zones, network),
+        copy(connected_read, accepted_write, zones, network),
     );
 }
 
 /// Holds a connection open in silence until the other side gives up.
-async fn hang(mut stream: TcpStream) {
+async fn read_until_closed(mut stream: TcpStream) {
     let mut buffer = [0; 1024];
     while let Ok(1..) = stream.read(&mut buffer).await {}
 }
@@ -84,14 +84,14 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    between: (Zone, Zone),
+    zones: (Zone, Zone),
     network: &Network,
 ) {
-    let mut buffer = vec![0; BUFFER];
-    let mut silent = false;
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut discards = false;
     while let Ok(n @ 1..) = from.read(&mut buffer).await {
-        silent |= network.is_cut(between.0, between.1);
-        if !silent && to.write_all(&buffer[..n]).await.is_err() {
+        discards |= network.is_partitioned(zones.0, zones.1);
+        if !discards && to.write_all(&buffer[..n]).await.is_err() {
             return;
         }
     }
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{BackendServer, Behaviour, Network, Onward, Relay, Zone, free_address_on};
+use super::{BackendServer, Behaviour, Network, OnwardCall, Relay, Zone, free_address_on};
 use crate::config::{Config, Listen, LogFormat, LogLevel};
 use crate::daemon::Daemon;
 use crate::declare::{Estate, load, split};
@@ -17,9 +17,9 @@
 use crate::store::Memory;
 
 /// How often emulated backend servers renew their announcements.
-const RENEW: Duration = Duration::from_secs(3);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 /// How long a site may take until all of its daemons know each other.
-const SETTLE: Duration = Duration::from_secs(60);
+const MEMBERS_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One backend server with its daemon.
 pub struct Server {
@@ -33,14 +33,14 @@
     pub service: ServiceName,
     /// The zone of its data centre.
     pub zone: Zone,
-    renewing: tokio::task::JoinHandle<()>,
+    renewal_task: tokio::task::JoinHandle<()>,
     _relay: Option<Relay>,
 }
 
 impl Server {
     /// Ends daemon and backend server at once, as a lost VM would.
     pub fn kill(self) {
-        self.renewing.abort();
+        self.renewal_task.abort();
         self.daemon.kill();
     }
 }
@@ -55,7 +55,7 @@
     pub network: Arc<Network>,
     /// The declarations in force.
     pub estate: Estate,
-    direct: bool,
+    without_relays: bool,
 }
 
 impl Site {
@@ -65,12 +65,14 @@
     /// # Errors
     ///
     /// Fails if the declarations are not valid.
-    pub fn estate(dir: &Path, centres: usize, scale: f64) -> Result<Estate, Error> {
+    pub fn load_scaled(dir: &Path, centres: usize, scale: f64) -> Result<Estate, Error> {
         let mut estate = load(dir).map_err(|e| Error::remote(e.to_string()))?;
         estate.centres.truncate(centres);
-        let kept: Vec<CentreName> = estate.centres.iter().map(|c| c.name.clone()).collect();
+        let centre_names: Vec<CentreName> = estate.centres.iter().map(|c| c.name.clone()).collect();
         for service in estate.services.values_mut() {
-            service.servers.retain(|place| kept.contains(&place.centre));
+            service
+                .servers
+                .retain(|place| centre_names.contains(&place.centre));
             service.servers.dedup_by(|a, b| a.centre == b.centre);
             service.servers.iter_mut().for_each(|place| place.count = 1);
             let slots = f64::from(service.slots.get()) * scale;
@@ -86,9 +88,9 @@
     /// Fails if an address cannot be bound or the estate does not settle.
     pub async fn start(
         estate: Estate,
-        behave: impl Fn(&ServiceName) -> Behaviour,
+        behaviour_of: impl Fn(&ServiceName) -> Behaviour,
     ) -> Result<Self, Error> {
-        Self::start_with(estate, behave, false).await
+        Self::start_servers(estate, behaviour_of, false).await
     }
 
     /// Starts all servers of an estate without a network between them that
@@ -97,38 +99,38 @@
     /// # Errors
     ///
     /// Fails if an address cannot be bound or the estate does not settle.
-    pub async fn start_direct(
+    pub async fn start_without_relays(
         estate: Estate,
-        behave: impl Fn(&ServiceName) -> Behaviour,
+        behaviour_of: impl Fn(&ServiceName) -> Behaviour,
     ) -> Result<Self, Error> {
-        Self::start_with(estate, behave, true).await
+        Self::start_servers(estate, behaviour_of, true).await
     }
 
-    async fn start_with(
+    async fn start_servers(
         estate: Estate,
-        behave: impl Fn(&ServiceName) -> Behaviour,
-        direct: bool,
+        behaviour_of: impl Fn(&ServiceName) -> Behaviour,
+        without_relays: bool,
     ) -> Result<Self, Error> {
         let mut site = Self {
             servers: Vec::new(),
             platform: Arc::new(Memory::default()),
             network: Arc::new(Network::default()),
             estate,
-            direct,
+            without_relays,
         };
         let services: Vec<_> = site.estate.services.values().cloned().collect();
         for service in &services {
             for place in &service.servers {
                 for _ in 0..place.count {
-                    let behaviour = behave(&service.name);
+                    let behaviour = behaviour_of(&service.name);
                     let name = service.name.clone();
-                    site.add(&name, &place.centre, &place.hall, behaviour)
+                    site.add_server(&name, &place.centre, &place.hall, behaviour)
                         .await?;
                 }
             }
         }
-        site.apply().await?;
-        site.settle().await?;
+        site.apply_estate().await?;
+        site.wait_for_members().await?;
         Ok(site)
     }
 
@@ -137,7 +139,7 @@
     /// # Errors
     ///
     /// Fails if an address cannot be bound.
-    pub async fn add(
+    pub async fn add_server(
         &mut self,
         service: &ServiceName,
         centre: &CentreName,
@@ -150,8 +152,8 @@
         let config = self.config(service, centre, hall, zone.ip())?;
         let advertised = config.listen.advertised;
         let declared = self.estate.services.get(service);
-        if behaviour.onward.is_empty() {
-            behaviour.onward = declared.map(onward).unwrap_or_default();
+        if behaviour.onward_calls.is_empty() {
+            behaviour.onward_calls = declared.map(onward_calls).unwrap_or_default();
         }
         let slots = declared.map_or(1, |service| service.slots.get());
         let callers = config.listen.callers;
@@ -165,9 +167,9 @@
         let daemon = Daemon::start_on(config, Arc::clone(&self.platform) as _).await?;
         daemon.guard().renew_lease(false);
         let guard = Arc::clone(daemon.guard());
-        let renewing = tokio::spawn(async move {
+        let renewal_task = tokio::spawn(async move {
             loop {
-                tokio::time::sleep(RENEW).await;
+                tokio::time::sleep(RENEWAL_INTERVAL).await;
                 guard.renew_unless_draining();
             }
         });
@@ -177,7 +179,7 @@
             callers,
             service: service.clone(),
             zone,
-            renewing,
+            renewal_task,
             _relay: relay,
         });
         Ok(())
@@ -191,7 +193,7 @@
         ip: IpAddr,
     ) -> Result<Config, Error> {
         let peers = free_address_on(ip)?;
-        let advertised = if self.direct {
+        let advertised = if self.without_relays {
             peers
         } else {
             free_address_on(ip)?
@@ -231,7 +233,7 @@
     /// # Errors
     ///
     /// Fails if they are not accepted.
-    pub async fn apply(&self) -> Result<Version, Error> {
+    pub async fn apply_estate(&self) -> Result<Version, Error> {
         let Some(first) = self.servers.first() else {
             return Ok(Version::NONE);
         };
@@ -253,7 +255,7 @@
     /// # Errors
     ///
     /// Fails if that takes too long.
-    pub async fn settle(&self) -> Result<(), Error> {
+    pub async fn wait_for_members(&self) -> Result<(), Error> {
         let ready = || {
             self.servers.iter().all(|server| {
                 let shared = server.daemon.shared();
@@ -271,17 +273,17 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(SETTLE, wait)
+        tokio::time::timeout(MEMBERS_TIMEOUT, wait)
             .await
             .map_err(|_| Error::remote("the daemons did not all learn of each other in 60 s"))
     }
 }
 
-fn onward(service: &crate::declare::Service) -> Vec<Onward> {
+fn onward_calls(service: &crate::declare::Service) -> Vec<OnwardCall> {
     service
         .depends
         .iter()
-        .map(|service| Onward {
+        .map(|service| OnwardCall {
             service: service.clone(),
             path: "/".into(),
         })
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -32,7 +32,7 @@
 
 async fn site() -> Site {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let mut estate = Site::estate(&dir, 1, 0.1).expect("an estate");
+    let mut estate = Site::load_scaled(&dir, 1, 0.1).expect("an estate");
     estate
         .services
         .retain(|name, _| name.as_str() == "station-status");
@@ -65,10 +65,10 @@
     let centre = bad_site.estate.centres[0].name.clone();
     let hall = bad_site.estate.centres[0].halls[0].clone();
     bad_site
-        .add(&name, &centre, &hall, Behaviour::default())
+        .add_server(&name, &centre, &hall, Behaviour::default())
         .await
         .expect("a server");
-    bad_site.settle().await.expect("settled");
+    bad_site.wait_for_members().await.expect("settled");
     let bad = bad_site.servers.pop().expect("a server");
     let address = bad.daemon.shared().config.backend;
     drop(bad.backend);
@@ -162,7 +162,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn once_call_needs_key_and_keeps_answer() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let mut estate = Site::estate(&dir, 2, 0.1).expect("an estate");
+    let mut estate = Site::load_scaled(&dir, 2, 0.1).expect("an estate");
     estate
         .services
         .retain(|name, _| name.as_str() == "subscriber-accounts");
@@ -200,7 +200,7 @@
         let runs: u32 = site
             .servers
             .iter()
-            .filter_map(|s| s.backend.runs().get(key).copied())
+            .filter_map(|s| s.backend.runs_by_key().get(key).copied())
             .sum();
         assert_eq!(runs, 1, "{key}");
     }
--- a/tests/crashed_server.rs
+++ b/tests/crashed_server.rs
@@ -18,7 +18,7 @@
 use http::{Method, StatusCode};
 use support::crashing::CrashingVm;
 use support::eventually;
-use support::hosted::{Vm, document, store, vm_beside};
+use support::hosted::{Vm, document, store, vm_without_server};
 
 /// How long the server is down; longer than the test.
 const RESTART_TIME: Duration = Duration::from_secs(30);
@@ -49,7 +49,7 @@
     rows.put("op", "config", &document(7, "svc", 5.0));
     let first = CrashingVm::start("svc", address, RESTART_TIME).await;
     let _second = CrashingVm::start("svc", address, RESTART_TIME).await;
-    let entry = vm_beside("till", address).await;
+    let entry = vm_without_server("till", address).await;
     entry.wait_ready().await;
     wait_serving(&entry, 2).await;
     first.server.crash();
@@ -57,7 +57,7 @@
     for round in 0..10 {
         let calls = (0..CONCURRENT_CALLS).map(async |n| {
             let (path, id) = (format!("/read/{round}-{n}"), format!("r{round}-{n}"));
-            let answer = entry.ask(Method::GET, &path, &id).await;
+            let answer = entry.send(Method::GET, &path, &id).await;
             assert_eq!(answer.status, StatusCode::OK, "request {n} of {round}");
         });
         join_all(calls).await;
@@ -76,15 +76,15 @@
     rows.put("op", "config", &document(7, "svc", 5.0));
     let restart_time = Duration::from_millis(500);
     let first = CrashingVm::start("svc", address, restart_time).await;
-    let entry = vm_beside("till", address).await;
+    let entry = vm_without_server("till", address).await;
     entry.wait_ready().await;
     wait_serving(&entry, 1).await;
     first.server.crash();
-    let answer = entry.ask(Method::GET, "/read/1", "r1").await;
+    let answer = entry.send(Method::GET, "/read/1", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     wait_serving(&entry, 0).await;
     assert_eq!(first.vm.daemon.guard().lease_state(), LeaseState::Absent);
     wait_serving(&entry, 1).await;
-    let answer = entry.ask(Method::GET, "/read/2", "r2").await;
+    let answer = entry.send(Method::GET, "/read/2", "r2").await;
     assert_eq!(answer.status, StatusCode::OK);
 }
--- a/tests/downloads.rs
+++ b/tests/downloads.rs
@@ -13,7 +13,7 @@
 use http::{Method, StatusCode};
 use parking_lot::Mutex;
 use rstest::rstest;
-use support::hosted::{document, store, vm, vm_beside};
+use support::hosted::{document, store, vm, vm_without_server};
 use support::{headers, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -86,7 +86,10 @@
     let (address, rows, _listening) = store().await;
     let routes = document(7, "svc", 2.0).replace(r#""idempotent""#, r#""download""#);
     rows.put("op", "config", &routes);
-    let (good, bad) = (vm("svc", address).await, vm_beside("svc", address).await);
+    let (good, bad) = (
+        vm("svc", address).await,
+        vm_without_server("svc", address).await,
+    );
     let reached = Reached::default();
     tokio::spawn(break_off(bad.backend, bytes, Arc::clone(&reached)));
     for vm in [&good, &bad] {
@@ -109,7 +112,7 @@
         ends.insert(id, is_whole);
     }
     let again: Vec<String> = good
-        .seen
+        .record
         .runs
         .lock()
         .iter()
--- a/tests/fair_share/inner.rs
+++ b/tests/fair_share/inner.rs
@@ -36,17 +36,17 @@
         .await;
     }
     let key = [("api-key", "key-north")];
-    let root = vms[0].ask_with(Method::GET, "/read/slow", "r1", &key);
+    let root = vms[0].send_with(Method::GET, "/read/slow", "r1", &key);
     let onward = async {
         let (vm, id) = eventually("the root call runs", || async {
-            let seen = vms.iter().find(|vm| !vm.seen.runs.lock().is_empty())?;
-            let id = seen.seen.runs.lock()[0].0.clone();
+            let seen = vms.iter().find(|vm| !vm.record.runs.lock().is_empty())?;
+            let id = seen.record.runs.lock()[0].0.clone();
             Some((seen, id))
         })
         .await;
         for n in 0..ONWARD_CALLS {
             let id = format!("{id}.{n}");
-            let answer = vm.ask_with(Method::GET, "/open/x", &id, &[]).await;
+            let answer = vm.send_with(Method::GET, "/open/x", &id, &[]).await;
             assert_eq!(answer.status, StatusCode::OK);
         }
     };
@@ -55,7 +55,7 @@
     for vm in &vms {
         assert_eq!(charged(vm), north);
     }
-    let answer = vms[0].ask_with(Method::GET, "/open/x", "r2", &[]).await;
+    let answer = vms[0].send_with(Method::GET, "/open/x", "r2", &[]).await;
     assert_eq!(answer.status, StatusCode::OK);
     let nobody = |vm: &Vm| charged(vm).contains("");
     assert!(vms.iter().any(nobody));
--- a/tests/pipelined_callers.rs
+++ b/tests/pipelined_callers.rs
@@ -376,7 +376,7 @@
 }
 
 fn ids(vm: &Vm) -> Vec<String> {
-    let runs = vm.seen.runs.lock();
+    let runs = vm.record.runs.lock();
     runs.iter().map(|(id, ..)| id.clone()).collect()
 }
 
--- a/tests/plain_calls.rs
+++ b/tests/plain_calls.rs
@@ -21,13 +21,13 @@
 /// it calls.
 async fn site(answer: usize) -> Site {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let mut estate = Site::estate(&dir, 1, 1.0).expect("an estate");
+    let mut estate = Site::load_scaled(&dir, 1, 1.0).expect("an estate");
     estate
         .services
         .retain(|name, _| [CALLED, CALLING].contains(&name.as_str()));
     estate.services.values_mut().for_each(|s| s.depends.clear());
     Site::start(estate, |_| Behaviour {
-        answer,
+        answer_bytes: answer,
         ..Behaviour::default()
     })
     .await
--- a/tests/platform_daemon.rs
+++ b/tests/platform_daemon.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use support::eventually;
 use support::hosted::{document, store, vm};
-use support::rows::{RowsStandIn, Trouble};
+use support::rows::{RowsFault, RowsStandIn};
 
 #[tokio::test]
 async fn answer_is_whole_and_its_origin_set() {
@@ -23,14 +23,14 @@
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     assert_eq!(vm.announce("ready", 1).await.status, StatusCode::OK);
-    let answer = vm.ask(Method::POST, "/write/x?a=%20b", "r1").await;
+    let answer = vm.send(Method::POST, "/write/x?a=%20b", "r1").await;
     assert_eq!(
         (answer.status, &*answer.body),
         (StatusCode::OK, &b"whole answer"[..])
     );
     assert_eq!(answer.headers["x-request-id"], "r1");
     assert_eq!(answer.headers["x-server-signature"], "signed");
-    let runs = vm.seen.runs.lock().clone();
+    let runs = vm.record.runs.lock().clone();
     assert_eq!(runs, [("r1".into(), "svc".into(), 4)]);
 }
 
@@ -38,7 +38,7 @@
 async fn daemon_without_configuration_promises_not_run() {
     let (address, rows, _listening) = store().await;
     let vm = vm("svc", address).await;
-    let answer = vm.ask(Method::POST, "/write/x", "r1").await;
+    let answer = vm.send(Method::POST, "/write/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!vm.is_ready().await);
     rows.put("op", "config", &document(7, "svc", 2.0));
@@ -55,9 +55,9 @@
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
-    let answer = vm.ask(Method::POST, path, "r1").await;
+    let answer = vm.send(Method::POST, path, "r1").await;
     assert_eq!(answer.status.as_u16(), status);
-    assert!(vm.seen.runs.lock().is_empty());
+    assert!(vm.record.runs.lock().is_empty());
 }
 
 #[rstest]
@@ -71,11 +71,11 @@
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
-    let answer = vm.ask(Method::POST, path, "r1").await;
+    let answer = vm.send(Method::POST, path, "r1").await;
     assert_eq!(answer.status.as_u16(), status);
-    assert!(vm.seen.runs.lock().len() >= runs);
+    assert!(vm.record.runs.lock().len() >= runs);
     if path.starts_with("/write") {
-        assert_eq!(vm.seen.runs.lock().len(), runs);
+        assert_eq!(vm.record.runs.lock().len(), runs);
     }
 }
 
@@ -87,7 +87,7 @@
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
     let started = std::time::Instant::now();
-    let answer = vm.ask(Method::GET, "/read/slow", "r1").await;
+    let answer = vm.send(Method::GET, "/read/slow", "r1").await;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     let took = started.elapsed();
     assert!(took >= Duration::from_millis(390), "{took:?}");
@@ -101,9 +101,9 @@
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
-    let working = || vm.seen.working.load(Ordering::SeqCst);
+    let working = || vm.record.active_runs.load(Ordering::SeqCst);
     let asked = async {
-        let asked = vm.ask(Method::GET, "/read/slow", "r1");
+        let asked = vm.send(Method::GET, "/read/slow", "r1");
         let _ = tokio::time::timeout(Duration::from_millis(300), asked).await;
     };
     let started = eventually("the work", || async { (working() == 1).then_some(()) });
@@ -126,13 +126,13 @@
     let entry = vm("other", address).await;
     entry.wait_ready().await;
     eventually("a first answer", || async {
-        let answer = entry.ask(Method::GET, "/read/x", "r0").await;
+        let answer = entry.send(Method::GET, "/read/x", "r0").await;
         (answer.status == StatusCode::OK).then_some(())
     })
     .await;
-    let working = || serving.seen.working.load(Ordering::SeqCst);
+    let working = || serving.record.active_runs.load(Ordering::SeqCst);
     let asked = async {
-        let asked = entry.ask(Method::GET, "/read/slow", "r1");
+        let asked = entry.send(Method::GET, "/read/slow", "r1");
         let _ = tokio::time::timeout(Duration::from_millis(300), asked).await;
     };
     let started = eventually("the work", || async { (working() == 1).then_some(()) });
@@ -152,14 +152,14 @@
     vm.wait_ready().await;
     vm.announce("ready", 4).await;
     // The store is away, which changes nothing for a server on the same VM.
-    rows.set(Trouble::Silent);
+    rows.set_fault(RowsFault::Silent);
     assert_eq!(vm.announce("draining", 6).await.status, StatusCode::OK);
     let late = vm.announce("ready", 5).await;
     assert_eq!(late.status, StatusCode::OK);
-    let answer = vm.ask(Method::GET, "/read/x", "r1").await;
+    let answer = vm.send(Method::GET, "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
-    assert!(vm.seen.runs.lock().is_empty());
+    assert!(vm.record.runs.lock().is_empty());
 }
 
 #[tokio::test]
@@ -173,7 +173,7 @@
     eventually("version 12", || async { (version() == 12).then_some(()) }).await;
     rows.put("op", "config", &document(9, "svc", 1.0));
     rows.put("op", "config", "no document");
-    rows.set(Trouble::Forgetful);
+    rows.set_fault(RowsFault::HistoryExpired);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(version(), 12);
     rows.put("op", "config", &document(13, "svc", 3.0));
@@ -211,9 +211,9 @@
     .await;
     for n in 0..20 {
         let id = format!("r{n}");
-        let answer = entry.ask(Method::POST, "/write/x", &id).await;
+        let answer = entry.send(Method::POST, "/write/x", &id).await;
         assert_eq!(answer.status, StatusCode::OK, "request {n}");
-        let runs = serving.seen.runs.lock();
+        let runs = serving.record.runs.lock();
         assert_eq!(runs.iter().filter(|run| run.0 == id).count(), 1);
     }
 }
@@ -226,7 +226,7 @@
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
     let (callers, readiness) = (vm.callers, vm.readiness);
-    let seen = std::sync::Arc::clone(&vm.seen);
+    let seen = std::sync::Arc::clone(&vm.record);
     let stopping = tokio::spawn(vm.daemon.stop(std::future::pending()));
     tokio::time::sleep(Duration::from_millis(200)).await;
     let url = format!("http://{readiness}/readyz");
@@ -271,7 +271,7 @@
         })
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    rows.set(Trouble::Silent);
+    rows.set_fault(RowsFault::Silent);
     let started = std::time::Instant::now();
     let drained = vm.daemon.stop(std::future::pending()).await;
     let took = started.elapsed().as_secs_f64();
@@ -292,9 +292,9 @@
     vm.announce("ready", 1).await;
     vm.daemon.guard().drain();
     vm.announce("ready", 2).await;
-    let answer = vm.ask(Method::GET, "/read/x", "r1").await;
+    let answer = vm.send(Method::GET, "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(vm.seen.runs.lock().is_empty());
+    assert!(vm.record.runs.lock().is_empty());
 }
 
 #[tokio::test]
@@ -312,13 +312,13 @@
     vm.announce_with(&beat(2_000, 2, 1)).await;
     let cold = vm.daemon.guard().gate().load().2;
     assert!(cold < warm, "{cold} slots at once, {warm} before");
-    let answer = vm.ask(Method::POST, "/write/1", "r1").await;
+    let answer = vm.send(Method::POST, "/write/1", "r1").await;
     assert_eq!(answer.status, StatusCode::OK);
-    vm.depart().await;
-    let answer = vm.ask(Method::POST, "/write/1", "r2").await;
+    vm.announce_removal().await;
+    let answer = vm.send(Method::POST, "/write/1", "r2").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     vm.announce_with(&beat(3_000, 0, 1)).await;
-    let answer = vm.ask(Method::POST, "/write/1", "r3").await;
+    let answer = vm.send(Method::POST, "/write/1", "r3").await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -340,7 +340,7 @@
     vm.announce("ready", 40).await;
     let answer = vm.announce_raw(body.into()).await;
     assert!(answer.status.is_client_error(), "{}", answer.status);
-    let answer = vm.ask(Method::POST, "/write/1", "r1").await;
+    let answer = vm.send(Method::POST, "/write/1", "r1").await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -353,8 +353,8 @@
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
-    vm.seen.say(&[("retry-after", "3.5")]);
-    let answer = vm.ask(Method::POST, "/write/shed", "r1").await;
+    vm.record.set_answer_headers(&[("retry-after", "3.5")]);
+    let answer = vm.send(Method::POST, "/write/shed", "r1").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.headers["retry-after"], "3.500");
 }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -14,7 +14,7 @@
 };
 use bramleymount::web::Listening;
 use rstest::rstest;
-use support::rows::{RowsStandIn, Trouble};
+use support::rows::{RowsFault, RowsStandIn};
 
 /// Short, so that answers which never come are noticed soon.
 const TIMEOUT: Duration = Duration::from_millis(300);
@@ -101,19 +101,19 @@
 #[tokio::test]
 async fn changes_say_that_history_is_forgotten() {
     let (store, rows, _listening) = store().await;
-    rows.set(Trouble::Forgetful);
+    rows.set_fault(RowsFault::HistoryExpired);
     let changes = store.changes("op", Revision(1), TIMEOUT).await;
     assert_eq!(changes, Err(FeedError::Forgotten));
 }
 
 #[rstest]
-#[case::busy(Trouble::Busy, false)]
-#[case::silent(Trouble::Silent, true)]
-#[case::lost(Trouble::LoseAnswers, true)]
+#[case::busy(RowsFault::Busy, false)]
+#[case::silent(RowsFault::Silent, true)]
+#[case::lost(RowsFault::LoseAnswers, true)]
 #[tokio::test]
-async fn write_tells_what_may_have_happened(#[case] trouble: Trouble, #[case] unknown: bool) {
+async fn write_tells_what_may_have_happened(#[case] trouble: RowsFault, #[case] unknown: bool) {
     let (store, rows, _listening) = store().await;
-    rows.set(trouble);
+    rows.set_fault(trouble);
     match store.write("t/a", Condition::Absent, "x".into()).await {
         Err(WriteError::Unknown(_)) => assert!(unknown),
         Err(WriteError::NotSent(_)) => assert!(!unknown),
@@ -124,10 +124,10 @@
 #[tokio::test]
 async fn settle_finds_a_write_whose_answer_was_lost() {
     let (store, rows, _listening) = store().await;
-    rows.set(Trouble::LoseAnswers);
+    rows.set_fault(RowsFault::LoseAnswers);
     let healed = async {
         tokio::time::sleep(TIMEOUT / 2).await;
-        rows.set(Trouble::None);
+        rows.set_fault(RowsFault::None);
     };
     let settled = settle(&store, "t/a", Condition::Absent, "x".into());
     let (settled, ()) = tokio::join!(settled, healed);
--- a/tests/query_of_death.rs
+++ b/tests/query_of_death.rs
@@ -19,7 +19,7 @@
 use http::{Method, StatusCode};
 use support::crashing::CrashingVm;
 use support::eventually;
-use support::hosted::{Vm, document, store, vm_beside};
+use support::hosted::{Vm, document, store, vm_without_server};
 use support::rows::RowsStandIn;
 
 /// How long after the third crash a request may still reach servers, as required by
@@ -74,8 +74,8 @@
         }
         let estate = Self {
             servers,
-            till: Arc::new(vm_beside("till", address).await),
-            logbay: Arc::new(vm_beside("logbay", address).await),
+            till: Arc::new(vm_without_server("till", address).await),
+            logbay: Arc::new(vm_without_server("logbay", address).await),
             _platform: platform.clone(),
         };
         estate.wait_targets().await;
@@ -147,7 +147,7 @@
         let entry = Arc::clone(&entries[count % 2]);
         let id = format!("insist-{count}");
         tasks.push(tokio::spawn(async move {
-            entry.ask(Method::GET, path, &id).await
+            entry.send(Method::GET, path, &id).await
         }));
         count += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -178,7 +178,7 @@
     let mut answers = Vec::new();
     for attempt in 0..3 {
         let id = format!("{}-{attempt}", path.replace('/', "-"));
-        let answer = entry.ask(Method::GET, &path, &id).await;
+        let answer = entry.send(Method::GET, &path, &id).await;
         let served = answer.status == StatusCode::OK;
         answers.push(answer);
         if served {
@@ -257,7 +257,7 @@
     for round in 0..6 {
         let path = "/read/same";
         let id = format!("r{round}");
-        let asking = estate.till.ask(Method::GET, path, &id);
+        let asking = estate.till.send(Method::GET, path, &id);
         let ending = async {
             tokio::time::sleep(Duration::from_millis(40)).await;
             if round % 2 == 0 {
@@ -288,9 +288,9 @@
     let estate = Estate::start_on(&platform).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for entry in both_entries(&estate) {
-        let answer = entry.ask(Method::GET, "/read/deadly", "again").await;
+        let answer = entry.send(Method::GET, "/read/deadly", "again").await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        let answer = entry.ask(Method::GET, "/read/other", "other").await;
+        let answer = entry.send(Method::GET, "/read/other", "other").await;
         assert_eq!(answer.status, StatusCode::OK);
     }
     assert!(estate.runs("/deadly").is_empty());
--- a/tests/server_limit.rs
+++ b/tests/server_limit.rs
@@ -16,8 +16,8 @@
 use bramleymount::policy::route::TargetState;
 use http::Method;
 use support::eventually;
-use support::hosted::{Vm, document, store, vm, vm_beside};
-use support::load::reads;
+use support::hosted::{Vm, document, store, vm, vm_without_server};
+use support::load::send_reads;
 
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -36,7 +36,7 @@
 }
 
 async fn entry(service: &str, store: SocketAddr, servers: usize) -> Vm {
-    let entry = vm_beside(service, store).await;
+    let entry = vm_without_server(service, store).await;
     entry.wait_ready().await;
     let table = entry
         .daemon
@@ -64,18 +64,20 @@
         entry(origins[0], address, 2).await,
         entry(origins[1], address, 2).await,
     ];
-    limited.seen.say(&[("server-limit", "10.0")]);
+    limited
+        .record
+        .set_answer_headers(&[("server-limit", "10.0")]);
     let start = Instant::now();
     let entries: Vec<_> = entries.iter().collect();
-    let ends = reads(&entries, "/read/", 120, WINDOW + PROPAGATION_TIME * 2).await;
+    let ends = send_reads(&entries, "/read/", 120, WINDOW + PROPAGATION_TIME * 2).await;
     let most = limited
-        .seen
-        .most(start + PROPAGATION_TIME, WINDOW, &origins);
+        .record
+        .max_in_window(start + PROPAGATION_TIME, WINDOW, &origins);
     assert!(most <= max_requests(10.0), "it got {most} in 4 s");
     // The server is limited but available, so its capacity must be used.
     assert!(most >= 20, "it got {most} in 4 s");
-    assert_eq!(ends.served, ends.all(), "{ends:?}");
-    assert!(unlimited.seen.arrivals.lock().len() > ends.all() / 2);
+    assert_eq!(ends.served, ends.total(), "{ends:?}");
+    assert!(unlimited.record.arrivals.lock().len() > ends.total() / 2);
 }
 
 // Guards against a restarted daemon that releases its queue before the limited server
@@ -86,9 +88,9 @@
     rows.put("op", "config", &document(7, "svc", 5.0));
     let (limited, _unlimited) = (server(address).await, server(address).await);
     let entry = entry("till", address, 2).await;
-    limited.seen.say(&[("server-limit", "3")]);
+    limited.record.set_answer_headers(&[("server-limit", "3")]);
     let start = Instant::now();
-    let load = async |time| reads(&[&entry], "/read/late-", 100, time).await;
+    let load = async |time| send_reads(&[&entry], "/read/late-", 100, time).await;
     load(PROPAGATION_TIME * 3).await;
     let limited = limited.restart().await;
     let announcing = async {
@@ -99,13 +101,14 @@
     };
     // Exceeds the capacity of the other server, so calls wait for this one.
     let (ends, ()) = tokio::join!(load(WINDOW), announcing);
-    let again = limited
-        .seen
-        .count(start + PROPAGATION_TIME * 3, Instant::now(), &["till"]);
+    let again =
+        limited
+            .record
+            .count_arrivals(start + PROPAGATION_TIME * 3, Instant::now(), &["till"]);
     assert!(again > 3, "it got {again} after the start");
     let most = limited
-        .seen
-        .most(start + PROPAGATION_TIME, WINDOW, &["till"]);
+        .record
+        .max_in_window(start + PROPAGATION_TIME, WINDOW, &["till"]);
     assert!(most <= max_requests(3.0), "it got {most} in 4 s");
     assert_eq!(ends.failed, 0, "{ends:?}");
 }
@@ -140,25 +143,30 @@
         entry(origins[1], address, 2).await,
     ];
     for server in &servers {
-        server.seen.say(&[("server-limit", "12")]);
+        server.record.set_answer_headers(&[("server-limit", "12")]);
     }
     let entries: Vec<_> = entries.iter().collect();
     let start = Instant::now();
     let time = WINDOW + PROPAGATION_TIME * 2;
     // Together the servers take 24 a second, plus one per class at the start.
     let (high, low) = tokio::join!(
-        reads(&entries, "/read/", 18, time),
-        reads(&entries, "/low/", 60, time)
+        send_reads(&entries, "/read/", 18, time),
+        send_reads(&entries, "/low/", 60, time)
     );
-    assert!(high.served * 100 >= high.all() * 97, "{high:?}");
-    assert!(low.served > 0 && low.refused * 2 > low.all(), "{low:?}");
+    assert!(high.served * 100 >= high.total() * 97, "{high:?}");
+    assert!(low.served > 0 && low.refused * 2 > low.total(), "{low:?}");
     assert_eq!((high.failed, low.failed), (0, 0));
-    assert!(low.told.len() >= low.refused, "all get a retry delay");
+    assert!(
+        low.retry_after.len() >= low.refused,
+        "all get a retry delay"
+    );
     for server in &servers {
-        let most = server.seen.most(start + PROPAGATION_TIME, WINDOW, &origins);
+        let most = server
+            .record
+            .max_in_window(start + PROPAGATION_TIME, WINDOW, &origins);
         assert!(most <= max_requests(12.0), "it got {most} in 4 s");
         let mut ids: Vec<_> = server
-            .seen
+            .record
             .arrivals
             .lock()
             .iter()
@@ -178,16 +186,16 @@
     rows.put("op", "config", &document(7, "svc", 5.0));
     let limited = server(address).await;
     let entry = entry("till", address, 1).await;
-    limited.seen.say(&[("server-limit", "0")]);
-    reads(&[&entry], "/read/a", 20, PROPAGATION_TIME).await;
-    limited.seen.say(&[]);
+    limited.record.set_answer_headers(&[("server-limit", "0")]);
+    send_reads(&[&entry], "/read/a", 20, PROPAGATION_TIME).await;
+    limited.record.set_answer_headers(&[]);
     // A server with limit 0 still gets an occasional request.
     eventually("the end of the limit", || async {
-        entry.ask(Method::GET, "/read/b", "b").await;
+        entry.send(Method::GET, "/read/b", "b").await;
         limited.daemon.guard().gate().rate().is_none().then_some(())
     })
     .await;
     tokio::time::sleep(PROPAGATION_TIME).await;
-    let ends = reads(&[&entry], "/read/c", 100, PROPAGATION_TIME).await;
-    assert_eq!(ends.served, ends.all(), "{ends:?}");
+    let ends = send_reads(&[&entry], "/read/c", 100, PROPAGATION_TIME).await;
+    assert_eq!(ends.served, ends.total(), "{ends:?}");
 }
--- a/tests/silent_neighbour.rs
+++ b/tests/silent_neighbour.rs
@@ -14,7 +14,7 @@
 
 use bramleymount::policy::member::{Incarnation, Member, MemberState};
 use support::eventually;
-use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
+use support::hosted::{Vm, document, store, vm_without_server, vm_without_server_with};
 
 /// Maximum time for an update to pass between neighbours: twice the time for which
 /// updates are gathered, and a margin for a busy machine.
@@ -44,11 +44,12 @@
 async fn version_passes_a_silent_neighbour() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(1, "svc", 2.0));
-    let sender = vm_beside("svc", address).await;
+    let sender = vm_without_server("svc", address).await;
     in_force(&sender, 1).await;
     let peers = sender.daemon.shared().config.listen.peers;
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let receiver = vm_beside_with("svc", nowhere, &format!("neighbours: [\"{peers}\"]")).await;
+    let receiver =
+        vm_without_server_with("svc", nowhere, &format!("neighbours: [\"{peers}\"]")).await;
     in_force(&receiver, 1).await;
     // Accepts connections but never answers.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/store_calls.rs
+++ b/tests/store_calls.rs
@@ -14,7 +14,7 @@
 
 use bramleymount::policy::member::StoreRole;
 use support::eventually;
-use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
+use support::hosted::{Vm, document, store, vm_without_server, vm_without_server_with};
 use support::rows::RowsStandIn;
 
 /// Daemons that use the store: the delegates, and the one that starts first and
@@ -30,12 +30,12 @@
 const APPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 async fn estate(platform: SocketAddr, members: usize) -> Vec<Vm> {
-    let first = vm_beside("svc", platform).await;
+    let first = vm_without_server("svc", platform).await;
     let peers = first.daemon.shared().config.listen.peers;
     let settings = format!("neighbours: [\"{peers}\"]");
     let mut all = vec![first];
     for _ in 1..members {
-        all.push(vm_beside_with("svc", platform, &settings).await);
+        all.push(vm_without_server_with("svc", platform, &settings).await);
     }
     all
 }
@@ -84,7 +84,7 @@
         at_start <= most,
         "{at_start} calls at the start, not {most}"
     );
-    assert!(rows.names("member").len() as u64 <= STORE_USERS);
+    assert!(rows.row_names("member").len() as u64 <= STORE_USERS);
     for vm in &vms {
         assert!(vm.is_ready().await);
     }
@@ -122,7 +122,7 @@
 async fn change_is_in_force_at_an_isolated_daemon() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
-    let vm = vm_beside_with("svc", address, "neighbours: [\"127.0.0.1:1\"]").await;
+    let vm = vm_without_server_with("svc", address, "neighbours: [\"127.0.0.1:1\"]").await;
     let vms = [vm];
     in_force(&vms, 7).await;
     rows.put("op", "config", &document(9, "svc", 2.0));
@@ -132,7 +132,7 @@
 
 async fn single_member_row(rows: &RowsStandIn) {
     eventually("its row", || async {
-        (rows.names("member").len() == 1).then_some(())
+        (rows.row_names("member").len() == 1).then_some(())
     })
     .await;
 }
--- a/tests/store_goes_back.rs
+++ b/tests/store_goes_back.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use support::eventually;
 use support::hosted::{Vm, document, store, vm};
-use support::rows::Trouble;
+use support::rows::RowsFault;
 
 async fn in_force(vm: &Vm, version: u64) {
     eventually("the version", || async {
@@ -33,7 +33,7 @@
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
-    rows.copy();
+    rows.take_snapshot();
     // Other writers use up revisions, which are given out again after the restore.
     for place in 0..8 {
         rows.put("op", &format!("other-{place}"), "x");
@@ -41,13 +41,13 @@
     rows.put("op", "config", &document(9, "svc", 2.0));
     in_force(&vm, 9).await;
     if outage {
-        rows.set(Trouble::Busy);
+        rows.set_fault(RowsFault::Busy);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    rows.go_back();
-    rows.set(Trouble::None);
+    rows.restore();
+    rows.set_fault(RowsFault::None);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let answer = vm.ask(Method::GET, "/read/x", "r1").await;
+    let answer = vm.send(Method::GET, "/read/x", "r1").await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(vm.daemon.shared().current.version().get(), 9);
     // The operator writes the lost version again, then a later one.
@@ -71,7 +71,7 @@
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
-    rows.copy();
+    rows.take_snapshot();
     rows.put("op", "other", "x");
     rows.put("op", "other", "y");
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -82,7 +82,7 @@
         ("op", "b", "x"),
         ("op", "c", "x"),
     ];
-    rows.go_back_and_put(&puts);
+    rows.restore_and_put(&puts);
     let sent = std::time::Instant::now();
     in_force(&vm, 9).await;
     assert!(
@@ -97,21 +97,21 @@
 async fn member_row_is_written_again() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
-    rows.copy();
+    rows.take_snapshot();
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
     eventually("the row", || async {
-        (rows.names("member").len() == 1).then_some(())
+        (rows.row_names("member").len() == 1).then_some(())
     })
     .await;
-    rows.go_back();
-    assert!(rows.names("member").is_empty());
+    rows.restore();
+    assert!(rows.row_names("member").is_empty());
     // The daemon sees the new era in the next answer of the store.
     rows.put("op", "other", "x");
     let gone = std::time::Instant::now();
     eventually("the row", || async {
-        (rows.names("member").len() == 1).then_some(())
+        (rows.row_names("member").len() == 1).then_some(())
     })
     .await;
     assert!(
@@ -126,13 +126,13 @@
 async fn store_restored_twice_is_followed() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
-    rows.copy();
+    rows.take_snapshot();
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     for version in [8, 9] {
         rows.put("op", "config", &document(version, "svc", 2.0));
         in_force(&vm, version).await;
-        rows.go_back();
+        rows.restore();
         tokio::time::sleep(Duration::from_millis(300)).await;
         rows.put("op", "config", &document(version, "svc", 2.0));
     }
--- a/tests/support/crashing.rs
+++ b/tests/support/crashing.rs
@@ -9,12 +9,12 @@
 use hyper::body::Incoming;
 use parking_lot::Mutex;
 
-use super::hosted::{Vm, vm_beside};
+use super::hosted::{Vm, vm_without_server};
 
 /// How long a server works on a request, as users' servers do.
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 /// How long after its start a deadly request crashes its server.
-const FUSE: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 
 /// One run of a request at a server.
 #[derive(Clone, Debug)]
@@ -26,22 +26,22 @@
 /// A backend server that crashes under each request whose path ends with
 /// `/deadly`, and under those of the caller `till` that end with `/partial`.
 /// It is back after a while as another run.
-pub struct Crashing {
+pub struct CrashingServer {
     address: SocketAddr,
     listening: Mutex<Option<Listening>>,
-    server: Mutex<String>,
+    instance_id: Mutex<String>,
     /// All that it began to run, in order.
     pub runs: Mutex<Vec<Run>>,
     /// When it crashed.
     pub crashes: Mutex<Vec<Instant>>,
 }
 
-impl Crashing {
+impl CrashingServer {
     async fn start(self: &Arc<Self>, run: usize) {
-        *self.server.lock() = format!("i-{}-{run}", self.address.port());
-        let of = Arc::clone(self);
+        *self.instance_id.lock() = format!("i-{}-{run}", self.address.port());
+        let this = Arc::clone(self);
         let listening = listen(self.address, move |request, _| {
-            Arc::clone(&of).serve(request)
+            Arc::clone(&this).serve(request)
         });
         let listening = listening.await.expect("a backend server");
         self.listening.lock().replace(listening);
@@ -53,8 +53,8 @@
         let mut answer = caller_text(StatusCode::OK, "text/plain", "whole answer");
         let id = header("x-request-id").expect("an id");
         answer.headers_mut().insert("x-request-id", id);
-        let meant = header("x-expect-instance");
-        if meant.is_some_and(|meant| meant != self.server.lock().as_str()) {
+        let expected = header("x-expect-instance");
+        if expected.is_some_and(|expected| expected != self.instance_id.lock().as_str()) {
             *answer.status_mut() = StatusCode::MISDIRECTED_REQUEST;
             return answer;
         }
@@ -67,10 +67,10 @@
         let deadly = path.ends_with("/deadly")
             || path.ends_with("/partial") && caller.is_some_and(|caller| caller == "till");
         if deadly {
-            tokio::time::sleep(FUSE).await;
+            tokio::time::sleep(CRASH_DELAY).await;
             self.crash();
         }
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(SERVICE_TIME).await;
         let signature = HeaderValue::from_static("signed");
         answer.headers_mut().insert("x-server-signature", signature);
         answer
@@ -88,48 +88,56 @@
     }
 }
 
-/// A VM whose backend server may crash, and is started again `away` after.
+/// A VM whose backend server may crash, and is started again `downtime` after.
 pub struct CrashingVm {
     pub vm: Arc<Vm>,
-    pub server: Arc<Crashing>,
-    keeper: tokio::task::JoinHandle<()>,
+    pub server: Arc<CrashingServer>,
+    restart_task: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for CrashingVm {
     fn drop(&mut self) {
-        self.keeper.abort();
+        self.restart_task.abort();
     }
 }
 
 impl CrashingVm {
-    pub async fn start(service: &str, store: SocketAddr, away: Duration) -> Self {
-        let vm = Arc::new(vm_beside(service, store).await);
-        let server = Arc::new(Crashing {
+    pub async fn start(service: &str, store: SocketAddr, downtime: Duration) -> Self {
+        let vm = Arc::new(vm_without_server(service, store).await);
+        let server = Arc::new(CrashingServer {
             address: vm.backend,
             listening: Mutex::default(),
-            server: Mutex::default(),
+            instance_id: Mutex::default(),
             runs: Mutex::default(),
             crashes: Mutex::default(),
         });
         server.start(0).await;
         announce(&vm, &server, 1).await;
-        let keeper = tokio::spawn(keep_up(Arc::clone(&vm), Arc::clone(&server), away));
-        Self { vm, server, keeper }
+        let restart_task = tokio::spawn(restart_after_crashes(
+            Arc::clone(&vm),
+            Arc::clone(&server),
+            downtime,
+        ));
+        Self {
+            vm,
+            server,
+            restart_task,
+        }
     }
 }
 
-async fn announce(vm: &Vm, server: &Crashing, sequence: u64) {
-    let id = server.server.lock().clone();
+async fn announce(vm: &Vm, server: &CrashingServer, sequence: u64) {
+    let id = server.instance_id.lock().clone();
     let answer = vm.announce_as(&id, "ready", sequence).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-async fn keep_up(vm: Arc<Vm>, server: Arc<Crashing>, away: Duration) {
+async fn restart_after_crashes(vm: Arc<Vm>, server: Arc<CrashingServer>, downtime: Duration) {
     let mut run = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(10)).await;
         if server.is_down() {
-            tokio::time::sleep(away).await;
+            tokio::time::sleep(downtime).await;
             run += 1;
             server.start(run).await;
             announce(&vm, &server, 1).await;
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -19,18 +19,18 @@
 use super::rows::RowsStandIn;
 use super::{eventually, headers, request};
 
-/// What a backend server has seen.
+/// What a backend server has received and run.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ServerRecord {
     /// Id, origin and body size of each run.
     pub runs: Mutex<Vec<(String, String, usize)>>,
     /// The headers of each run.
-    pub heads: Mutex<Vec<HeaderMap>>,
-    pub working: AtomicUsize,
+    pub run_headers: Mutex<Vec<HeaderMap>>,
+    pub active_runs: AtomicUsize,
     /// When each request came, and the service on whose VM it began.
     pub arrivals: Mutex<Vec<Arrival>>,
-    /// What the server says of itself with all answers.
-    pub says: Mutex<HeaderMap>,
+    /// Headers that the server adds to all answers.
+    pub answer_headers: Mutex<HeaderMap>,
 }
 
 /// One request that came to a backend server.
@@ -41,50 +41,61 @@
     pub origin: String,
 }
 
-impl Seen {
-    /// Sets what the server says of itself from now on.
-    pub fn say(&self, pairs: &[(&'static str, &str)]) {
-        *self.says.lock() = headers(pairs);
+impl ServerRecord {
+    /// Sets the headers that the server adds to all answers from now on.
+    pub fn set_answer_headers(&self, pairs: &[(&'static str, &str)]) {
+        *self.answer_headers.lock() = headers(pairs);
     }
 
     /// Returns how many requests of some services came from `from` to `to`.
-    pub fn count(&self, from: Instant, to: Instant, origins: &[&str]) -> usize {
+    pub fn count_arrivals(&self, from: Instant, to: Instant, origins: &[&str]) -> usize {
         let arrivals = self.arrivals.lock();
-        let within = arrivals.iter().filter(|one| one.at >= from && one.at < to);
+        let within = arrivals
+            .iter()
+            .filter(|arrival| arrival.at >= from && arrival.at < to);
         within
-            .filter(|one| origins.contains(&one.origin.as_str()))
+            .filter(|arrival| origins.contains(&arrival.origin.as_str()))
             .count()
     }
 
-    /// Returns the most requests of some services that came in any `window`
-    /// from `from` on.
-    pub fn most(&self, from: Instant, window: Duration, origins: &[&str]) -> usize {
-        let starts: Vec<_> = self.arrivals.lock().iter().map(|one| one.at).collect();
+    /// Returns the largest number of requests of some services in any `window`
+    /// that starts at or after `from`.
+    pub fn max_in_window(&self, from: Instant, window: Duration, origins: &[&str]) -> usize {
+        let starts: Vec<_> = self
+            .arrivals
+            .lock()
+            .iter()
+            .map(|arrival| arrival.at)
+            .collect();
         let starts = starts.into_iter().filter(|at| *at >= from);
-        let counts = starts.map(|at| self.count(at, at + window, origins));
+        let counts = starts.map(|at| self.count_arrivals(at, at + window, origins));
         counts.max().unwrap_or_default()
     }
 }
 
 /// How long the answers to `/late-` take.
-const LATE: Duration = Duration::from_millis(300);
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(300);
 
-struct Working<'s>(&'s AtomicUsize);
+struct ActiveRun<'s>(&'s AtomicUsize);
 
-impl Drop for Working<'_> {
+impl Drop for ActiveRun<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-async fn run(seen: Arc<Seen>, server: String, request: Request<Incoming>) -> CallerAnswer {
+async fn serve(
+    record: Arc<ServerRecord>,
+    server: String,
+    request: Request<Incoming>,
+) -> CallerAnswer {
     let (head, body) = request.into_parts();
     let text = |name: &str| {
         let value = head.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
     let path = head.uri.path().to_owned();
-    seen.arrivals.lock().push(Arrival {
+    record.arrivals.lock().push(Arrival {
         at: Instant::now(),
         id: text("x-request-id"),
         origin: text("x-caller-service"),
@@ -97,20 +108,22 @@
     let mut answer = caller_text(StatusCode::OK, "text/plain", "whole answer");
     let id = HeaderValue::from_str(&text("x-request-id")).expect("an id");
     answer.headers_mut().insert("x-request-id", id);
-    answer.headers_mut().extend(seen.says.lock().clone());
+    answer
+        .headers_mut()
+        .extend(record.answer_headers.lock().clone());
     if path.ends_with("/shed") || text("x-expect-instance") != server {
         *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-        let told = HeaderValue::from_static("1");
-        answer.headers_mut().insert("x-not-executed", told);
+        let not_executed = HeaderValue::from_static("1");
+        answer.headers_mut().insert("x-not-executed", not_executed);
         return answer;
     }
-    let seen_of = (text("x-request-id"), text("x-caller-service"), body.len());
-    seen.runs.lock().push(seen_of);
-    seen.heads.lock().push(head.headers.clone());
-    seen.working.fetch_add(1, Ordering::SeqCst);
-    let _working = Working(&seen.working);
+    let run = (text("x-request-id"), text("x-caller-service"), body.len());
+    record.runs.lock().push(run);
+    record.run_headers.lock().push(head.headers.clone());
+    record.active_runs.fetch_add(1, Ordering::SeqCst);
+    let _active_run = ActiveRun(&record.active_runs);
     if path.contains("/late-") {
-        tokio::time::sleep(LATE).await;
+        tokio::time::sleep(LATE_ANSWER_DELAY).await;
     }
     if path.ends_with("/slow") {
         tokio::time::sleep(Duration::from_secs(20)).await;
@@ -129,7 +142,7 @@
     pub announcements: SocketAddr,
     pub readiness: SocketAddr,
     pub operators: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub record: Arc<ServerRecord>,
     pub server: String,
     pub service: String,
     /// Where its backend server listens.
@@ -145,16 +158,16 @@
 
 /// The same with more lines of settings.
 pub async fn vm_with(service: &str, store: SocketAddr, settings: &str) -> Vm {
-    let mut vm = vm_beside_with(service, store, settings).await;
-    let (of, id) = (Arc::clone(&vm.seen), vm.server.clone());
+    let mut vm = vm_without_server_with(service, store, settings).await;
+    let (record, id) = (Arc::clone(&vm.record), vm.server.clone());
     let served = listen(vm.backend, move |request, _| {
-        run(Arc::clone(&of), id.clone(), request)
+        serve(Arc::clone(&record), id.clone(), request)
     });
     vm.running = Some(served.await.expect("a backend server"));
     vm
 }
 
-async fn daemon(settings: &str) -> Daemon {
+async fn start_daemon(settings: &str) -> Daemon {
     eventually("the daemon's addresses", || async {
         let config = Config::parse(Path::new("settings.yaml"), settings.as_bytes());
         let config = config.unwrap_or_else(|e| panic!("{e}"));
@@ -164,12 +177,12 @@
 }
 
 /// Starts the daemon of a VM whose backend server is started elsewhere.
-pub async fn vm_beside(service: &str, store: SocketAddr) -> Vm {
-    vm_beside_with(service, store, "").await
+pub async fn vm_without_server(service: &str, store: SocketAddr) -> Vm {
+    vm_without_server_with(service, store, "").await
 }
 
 /// Starts the daemon of a VM with some more lines of settings.
-pub async fn vm_beside_with(service: &str, store: SocketAddr, lines: &str) -> Vm {
+pub async fn vm_without_server_with(service: &str, store: SocketAddr, lines: &str) -> Vm {
     let port = || free_address().expect("a port");
     let (callers, announcements, readiness, backend) = (port(), port(), port(), port());
     let operators = port();
@@ -180,12 +193,12 @@
         port(),
     );
     Vm {
-        daemon: daemon(&text).await,
+        daemon: start_daemon(&text).await,
         callers,
         announcements,
         readiness,
         operators,
-        seen: Arc::new(Seen::default()),
+        record: Arc::new(ServerRecord::default()),
         server: format!("i-{}", backend.port()),
         service: service.into(),
         backend,
@@ -198,7 +211,7 @@
     /// Kills the daemon and starts it again beside the server, which runs on.
     pub async fn restart(mut self) -> Self {
         self.daemon.kill();
-        self.daemon = daemon(&self.settings).await;
+        self.daemon = start_daemon(&self.settings).await;
         self
     }
 
@@ -230,18 +243,18 @@
     }
 
     pub async fn announce_raw(&self, body: Bytes) -> Answer {
-        let answer = request(Method::PUT, &self.own_url(), HeaderMap::new(), body).await;
+        let answer = request(Method::PUT, &self.instance_url(), HeaderMap::new(), body).await;
         answer.expect("an acknowledgement")
     }
 
     /// Says goodbye for the server.
-    pub async fn depart(&self) -> Answer {
-        let url = self.own_url();
+    pub async fn announce_removal(&self) -> Answer {
+        let url = self.instance_url();
         let answer = request(Method::DELETE, &url, HeaderMap::new(), Bytes::new()).await;
         answer.expect("an acknowledgement")
     }
 
-    fn own_url(&self) -> String {
+    fn instance_url(&self) -> String {
         format!("http://{}/instances/{}", self.announcements, self.server)
     }
 
@@ -259,12 +272,12 @@
     }
 
     /// Sends a request of `id` and waits for the answer.
-    pub async fn ask(&self, method: Method, path: &str, id: &str) -> Answer {
-        self.ask_with(method, path, id, &[]).await
+    pub async fn send(&self, method: Method, path: &str, id: &str) -> Answer {
+        self.send_with(method, path, id, &[]).await
     }
 
     /// Sends a request of `id` with some more headers.
-    pub async fn ask_with(
+    pub async fn send_with(
         &self,
         method: Method,
         path: &str,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -21,11 +21,11 @@
 use http_body_util::Full;
 
 /// Longest wait for something that must come true; only a failing test waits so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Waits until `done` gives a value.
 pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, done: impl Fn() -> F) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     loop {
         if let Some(value) = done().await {
             return value;
--- a/tests/support/rows.rs
+++ b/tests/support/rows.rs
@@ -15,7 +15,7 @@
 
 /// How the stand-in misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum RowsFault {
     #[default]
     None,
     /// Says 503 and does nothing.
@@ -25,18 +25,18 @@
     /// Does what is asked and never answers.
     LoseAnswers,
     /// Has forgotten its history.
-    Forgetful,
+    HistoryExpired,
 }
 
 #[derive(Clone, Debug)]
-struct Cell {
+struct StoredRow {
     value: Option<String>,
     ver: u64,
     /// What is told of the row, if another writer made it.
     raw: Option<Value>,
 }
 
-impl Cell {
+impl StoredRow {
     fn new(value: Option<String>, ver: u64) -> Self {
         Self {
             value,
@@ -48,22 +48,22 @@
 
 /// What a store goes back to.
 #[derive(Clone, Debug)]
-struct Copy {
-    cells: BTreeMap<Key, Cell>,
+struct Snapshot {
+    stored_rows: BTreeMap<Key, StoredRow>,
     ver: u64,
 }
 
 #[derive(Debug, Default)]
 struct Rows {
-    cells: BTreeMap<(String, String), Cell>,
+    stored_rows: BTreeMap<(String, String), StoredRow>,
     objects: BTreeMap<String, Vec<u8>>,
     ver: u64,
-    trouble: Trouble,
+    fault: RowsFault,
     calls: u64,
     /// Rises by one each time that the store goes back; not told while 0.
     era: u64,
     /// What the store goes back to.
-    copy: Option<Copy>,
+    snapshot: Option<Snapshot>,
 }
 
 #[derive(Debug, Default)]
@@ -79,15 +79,15 @@
     (text("tableName"), text("key"))
 }
 
-fn found(key: &Key, cell: &Cell) -> Value {
-    if let Some(raw) = &cell.raw {
+fn row_json(key: &Key, stored: &StoredRow) -> Value {
+    if let Some(raw) = &stored.raw {
         return raw.clone();
     }
-    match &cell.value {
+    match &stored.value {
         Some(value) => json!({"tableName": key.0, "part": "", "key": key.1,
-            "value": value, "ver": cell.ver}),
+            "value": value, "ver": stored.ver}),
         None => json!({"tableName": key.0, "part": "", "key": key.1,
-            "ver": cell.ver, "deleted": true}),
+            "ver": stored.ver, "deleted": true}),
     }
 }
 
@@ -101,8 +101,8 @@
         use base64::Engine;
         let value = base64::engine::general_purpose::STANDARD.encode(text);
         self.ver += 1;
-        let cell = Cell::new(Some(value), self.ver);
-        self.cells.insert((table.into(), name.into()), cell);
+        let stored = StoredRow::new(Some(value), self.ver);
+        self.stored_rows.insert((table.into(), name.into()), stored);
     }
 }
 
@@ -117,28 +117,28 @@
         (store, listening.await.expect("the stand-in"))
     }
 
-    pub fn set(&self, trouble: Trouble) {
-        self.rows.lock().trouble = trouble;
+    pub fn set_fault(&self, fault: RowsFault) {
+        self.rows.lock().fault = fault;
     }
 
     /// Begins to tell the era, and copies what is there.
-    pub fn copy(&self) {
+    pub fn take_snapshot(&self) {
         let mut rows = self.rows.lock();
         rows.era = rows.era.max(1);
-        let (cells, ver) = (rows.cells.clone(), rows.ver);
-        rows.copy = Some(Copy { cells, ver });
+        let (stored_rows, ver) = (rows.stored_rows.clone(), rows.ver);
+        rows.snapshot = Some(Snapshot { stored_rows, ver });
     }
 
     /// Goes back to the copy; versions given out since are given out again.
-    pub fn go_back(&self) {
-        self.go_back_and_put(&[]);
+    pub fn restore(&self) {
+        self.restore_and_put(&[]);
     }
 
     /// Goes back, and takes writes before anyone is told of it.
-    pub fn go_back_and_put(&self, puts: &[(&str, &str, &str)]) {
+    pub fn restore_and_put(&self, puts: &[(&str, &str, &str)]) {
         let mut rows = self.rows.lock();
-        let Copy { cells, ver } = rows.copy.clone().expect("a copy");
-        rows.cells = cells;
+        let Snapshot { stored_rows, ver } = rows.snapshot.clone().expect("a copy");
+        rows.stored_rows = stored_rows;
         rows.ver = ver;
         rows.era += 1;
         for (table, name, text) in puts {
@@ -149,9 +149,12 @@
     }
 
     /// Returns the names of the rows of a table.
-    pub fn names(&self, table: &str) -> Vec<String> {
+    pub fn row_names(&self, table: &str) -> Vec<String> {
         let rows = self.rows.lock();
-        let there = rows.cells.iter().filter(|(_, cell)| cell.value.is_some());
+        let there = rows
+            .stored_rows
+            .iter()
+            .filter(|(_, stored)| stored.value.is_some());
         let names = there
             .filter(|(key, _)| key.0 == table)
             .map(|(key, _)| key.1.clone());
@@ -172,11 +175,11 @@
     pub fn put_raw(&self, table: &str, name: &str, raw: &str) {
         let mut rows = self.rows.lock();
         rows.ver += 1;
-        let cell = Cell {
+        let stored = StoredRow {
             raw: Some(serde_json::from_str(raw).expect("JSON")),
-            ..Cell::new(Some(String::new()), rows.ver)
+            ..StoredRow::new(Some(String::new()), rows.ver)
         };
-        rows.cells.insert((table.into(), name.into()), cell);
+        rows.stored_rows.insert((table.into(), name.into()), stored);
         drop(rows);
         self.changed.notify_waiters();
     }
@@ -197,27 +200,27 @@
             .await
             .map(|b| b.to_bytes())
             .unwrap_or_default();
-        let trouble = {
+        let fault = {
             let mut rows = self.rows.lock();
             rows.calls += 1;
-            rows.trouble
+            rows.fault
         };
-        match trouble {
-            Trouble::Busy => return answer(503, &json!({})),
-            Trouble::Silent => std::future::pending::<()>().await,
-            Trouble::None | Trouble::LoseAnswers | Trouble::Forgetful => {}
+        match fault {
+            RowsFault::Busy => return answer(503, &json!({})),
+            RowsFault::Silent => std::future::pending::<()>().await,
+            RowsFault::None | RowsFault::LoseAnswers | RowsFault::HistoryExpired => {}
         }
         let path = head.uri.path().to_owned();
-        let query = query(head.uri.query().unwrap_or_default());
+        let query = parse_query(head.uri.query().unwrap_or_default());
         let result = match (&head.method, path.as_str()) {
             (&Method::POST, "/rows-tx") => self.transact(&body),
             (&Method::GET, "/rows-get") => self.get(&query),
-            (&Method::GET, "/rows-feed") => self.feed(&query, trouble).await,
+            (&Method::GET, "/rows-feed") => self.feed(&query, fault).await,
             (&Method::PUT, _) => self.put_object(&path, &body),
             (&Method::GET, _) => self.get_object(&path),
             _ => answer(404, &json!({})),
         };
-        if trouble == Trouble::LoseAnswers {
+        if fault == RowsFault::LoseAnswers {
             std::future::pending::<()>().await;
         }
         result
@@ -228,14 +231,17 @@
         let mut rows = self.rows.lock();
         let list = |name: &str| call[name].as_array().cloned().unwrap_or_default();
         let ver_of = |rows: &Rows, key: &Key| {
-            let cell = rows.cells.get(key).filter(|cell| cell.value.is_some());
-            cell.map_or(0, |cell| cell.ver)
+            let stored = rows
+                .stored_rows
+                .get(key)
+                .filter(|stored| stored.value.is_some());
+            stored.map_or(0, |stored| stored.ver)
         };
         let holds = |row: &Value| ver_of(&rows, &key(row)) == row["ver"].as_u64().unwrap_or(0);
         if !list("expectRev").iter().all(holds) {
             let now: Vec<Value> = list("expectRev")
                 .iter()
-                .filter_map(|row| Some(found(&key(row), rows.cells.get(&key(row))?)))
+                .filter_map(|row| Some(row_json(&key(row), rows.stored_rows.get(&key(row))?)))
                 .collect();
             return answer(412, &json!({"rows": now, "ver": rows.ver, "nowS": 1.0}));
         }
@@ -243,10 +249,12 @@
         let ver = rows.ver;
         for row in list("puts") {
             let value = row["value"].as_str().map(str::to_owned);
-            rows.cells.insert(key(&row), Cell::new(value, ver));
+            rows.stored_rows
+                .insert(key(&row), StoredRow::new(value, ver));
         }
         for row in list("remove") {
-            rows.cells.insert(key(&row), Cell::new(None, ver));
+            rows.stored_rows
+                .insert(key(&row), StoredRow::new(None, ver));
         }
         drop(rows);
         self.changed.notify_waiters();
@@ -262,10 +270,10 @@
             key.0 == text("tableName") && key.1 >= text("from") && before_end
         };
         let all: Vec<Value> = rows
-            .cells
+            .stored_rows
             .iter()
-            .filter(|(key, cell)| inside(key) && cell.value.is_some())
-            .map(|(key, cell)| found(key, cell))
+            .filter(|(key, stored)| inside(key) && stored.value.is_some())
+            .map(|(key, stored)| row_json(key, stored))
             .collect();
         let page: Vec<&Value> = all.iter().take(limit).collect();
         let more = all.len() > page.len();
@@ -275,8 +283,8 @@
         )
     }
 
-    async fn feed(&self, query: &BTreeMap<String, String>, trouble: Trouble) -> CallerAnswer {
-        if trouble == Trouble::Forgetful {
+    async fn feed(&self, query: &BTreeMap<String, String>, fault: RowsFault) -> CallerAnswer {
+        if fault == RowsFault::HistoryExpired {
             return answer(410, &json!({}));
         }
         let number = |name: &str| query.get(name).and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -290,13 +298,14 @@
             let (changes, ver) = {
                 let rows = self.rows.lock();
                 let table = query.get("tableName").cloned().unwrap_or_default();
-                let newer =
-                    |(key, cell): &(&Key, &Cell)| key.0 == table && cell.ver > number("after");
+                let newer = |(key, stored): &(&Key, &StoredRow)| {
+                    key.0 == table && stored.ver > number("after")
+                };
                 let mut all: Vec<(u64, Value)> = rows
-                    .cells
+                    .stored_rows
                     .iter()
                     .filter(newer)
-                    .map(|(key, cell)| (cell.ver, found(key, cell)))
+                    .map(|(key, stored)| (stored.ver, row_json(key, stored)))
                     .collect();
                 all.sort_by_key(|(ver, _)| *ver);
                 let all: Vec<Value> = all.into_iter().map(|(_, row)| row).collect();
@@ -328,14 +337,14 @@
     }
 }
 
-fn query(text: &str) -> BTreeMap<String, String> {
+fn parse_query(text: &str) -> BTreeMap<String, String> {
     text.split('&')
         .filter_map(|pair| pair.split_once('='))
-        .map(|(name, value)| (name.to_owned(), unquoted(value)))
+        .map(|(name, value)| (name.to_owned(), percent_decode(value)))
         .collect()
 }
 
-fn unquoted(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.as_bytes();
     while let Some((first, after)) = rest.split_first() {
--- a/tests/uneven_answers.rs
+++ b/tests/uneven_answers.rs
@@ -14,7 +14,7 @@
 use http::{HeaderValue, Method, StatusCode};
 use rstest::rstest;
 use support::eventually;
-use support::hosted::{Vm, document, store, vm_beside, vm_beside_with};
+use support::hosted::{Vm, document, store, vm_without_server, vm_without_server_with};
 use tokio::time::Instant;
 
 struct Server {
@@ -24,7 +24,7 @@
 
 /// Starts a server that gives each request the same answer after a delay.
 async fn server(store: SocketAddr, status: StatusCode, ms: u64) -> Server {
-    let vm = vm_beside("svc", store).await;
+    let vm = vm_without_server("svc", store).await;
     let listening = listen(vm.backend, move |request, _| async move {
         tokio::time::sleep(Duration::from_millis(ms)).await;
         let mut answer = caller_text(status, "text/plain", "answer");
@@ -60,7 +60,7 @@
     let failing = server(address, StatusCode::INTERNAL_SERVER_ERROR, 0).await;
     let slow = server(address, StatusCode::OK, 200).await;
     let quick = server(address, StatusCode::OK, 40).await;
-    let entry = vm_beside_with("till", address, line).await;
+    let entry = vm_without_server_with("till", address, line).await;
     entry.wait_ready().await;
     eventually("the servers", || async {
         let service = "svc".parse().expect("a name");
@@ -71,7 +71,7 @@
     .await;
     for n in 0..40 {
         let id = format!("r{n}");
-        entry.ask(Method::GET, "/read/x", &id).await;
+        entry.send(Method::GET, "/read/x", &id).await;
     }
     assert_eq!(latency_ratio(&entry, &failing), None);
     let (slow, quick) = (latency_ratio(&entry, &slow), latency_ratio(&entry, &quick));
--- a/tests/workspace_rates.rs
+++ b/tests/workspace_rates.rs
@@ -46,7 +46,7 @@
 }
 
 fn runs(vms: &[Vm]) -> usize {
-    vms.iter().map(|vm| vm.seen.runs.lock().len()).sum()
+    vms.iter().map(|vm| vm.record.runs.lock().len()).sum()
 }
 
 #[tokio::test]
@@ -58,7 +58,7 @@
     while started_at.elapsed() < Duration::from_secs(3) {
         let requests = vms
             .iter()
-            .map(|vm| vm.ask_with(Method::GET, "/read/x", "r1", &key));
+            .map(|vm| vm.send_with(Method::GET, "/read/x", "r1", &key));
         for answer in join_all(requests).await {
             match answer.status {
                 StatusCode::OK => served += 1,
@@ -91,7 +91,7 @@
     let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-south")];
     for _ in 0..60 {
-        let answer = vms[0].ask_with(Method::GET, "/read/x", "r1", &key).await;
+        let answer = vms[0].send_with(Method::GET, "/read/x", "r1", &key).await;
         assert_eq!(answer.status, StatusCode::OK);
     }
 }
@@ -112,7 +112,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let mut refused = 0;
     for _ in 0..100 {
-        let answer = vms[1].ask_with(Method::GET, "/read/x", "r1", &key).await;
+        let answer = vms[1].send_with(Method::GET, "/read/x", "r1", &key).await;
         refused += u32::from(answer.status == StatusCode::TOO_MANY_REQUESTS);
     }
     assert!(refused <= 2, "{refused} refused within the new rate");
@@ -124,7 +124,9 @@
     let (vms, _listening, _rows) = estate(FIVE_PER_S).await;
     let key = [("api-key", "key-north")];
     for _ in 0..60 {
-        let answer = vms[0].ask_with(Method::GET, "/read/shed", "r1", &key).await;
+        let answer = vms[0]
+            .send_with(Method::GET, "/read/shed", "r1", &key)
+            .await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     }
     assert_eq!(runs(&vms), 0);
@@ -139,7 +141,7 @@
     // A new coordinator does not know what credit its predecessor granted.
     tokio::time::sleep(Duration::from_secs(1)).await;
     for vm in &vms {
-        let answer = vm.ask_with(Method::GET, "/read/x", "r1", &key).await;
+        let answer = vm.send_with(Method::GET, "/read/x", "r1", &key).await;
         assert_eq!(answer.status, StatusCode::OK);
     }
     let name = "north".parse().expect("a name");
@@ -154,7 +156,7 @@
     let mut served = 0;
     while started_at.elapsed() < Duration::from_secs(4) {
         let sent = Instant::now();
-        let answer = vms[0].ask_with(Method::GET, "/read/x", "r1", &key).await;
+        let answer = vms[0].send_with(Method::GET, "/read/x", "r1", &key).await;
         assert!(
             sent.elapsed() < Duration::from_secs(1),
             "held for {:?}",
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -32,9 +32,9 @@
 ) {
     let (vm, _listening, _rows) = started(TWO_WORKSPACES).await;
     let sent = [("api-key", key), ("x-tenant", "forged"), ("x-kept", "1")];
-    let answer = vm.ask_with(Method::GET, "/read/x", "r1", &sent).await;
+    let answer = vm.send_with(Method::GET, "/read/x", "r1", &sent).await;
     assert_eq!(answer.status, StatusCode::OK);
-    let heads = vm.seen.heads.lock().clone();
+    let heads = vm.record.run_headers.lock().clone();
     assert_eq!(heads[0].get_all("x-tenant").iter().count(), 1);
     assert_eq!(heads[0]["x-tenant"], workspace);
     assert_eq!(heads[0]["x-kept"], "1");
@@ -57,9 +57,9 @@
     #[case] status: u16,
 ) {
     let (vm, _listening, _rows) = started(TWO_WORKSPACES).await;
-    let answer = vm.ask_with(Method::GET, path, "r1", sent).await;
+    let answer = vm.send_with(Method::GET, path, "r1", sent).await;
     assert_eq!(answer.status.as_u16(), status);
-    let heads = vm.seen.heads.lock().clone();
+    let heads = vm.record.run_headers.lock().clone();
     assert_eq!(heads.len(), usize::from(status == 200));
     for head in heads {
         assert!(!head.contains_key("api-key"));
@@ -72,7 +72,7 @@
     let (address, rows, _listening) = store().await;
     let vm = vm("svc", address).await;
     let sent = [("api-key", "key-south")];
-    let answer = vm.ask_with(Method::GET, "/read/x", "r1", &sent).await;
+    let answer = vm.send_with(Method::GET, "/read/x", "r1", &sent).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     rows.put("op", "config", &keyed_document(7, "svc", TWO_WORKSPACES));
     vm.wait_ready().await;
@@ -86,7 +86,7 @@
 async fn removed_api_key_is_refused(#[case] later: &str) {
     let (vm, _listening, rows) = started(TWO_WORKSPACES).await;
     let sent = [("api-key", "key-north-1")];
-    let send_request = || vm.ask_with(Method::GET, "/read/x", "r1", &sent);
+    let send_request = || vm.send_with(Method::GET, "/read/x", "r1", &sent);
     assert_eq!(send_request().await.status, StatusCode::OK);
     rows.put("op", "config", &keyed_document(8, "svc", later));
     eventually("the key is refused", || async {
