--- a/examples/soak/backend.rs
+++ b/examples/soak/backend.rs
@@ -16,36 +16,36 @@
 use tokio::time::Instant;
 
 use crate::caller::DEADLY_BODY;
-use crate::estate::{Addresses, SLOTS, deadly_of, service};
+use crate::estate::{Addresses, BACKEND_SLOTS, deadly_number, service_of};
+use crate::notices;
 use crate::pipeliner::is_pipelined;
 use crate::record::{Record, Run};
-use crate::words;
 
 /// How often the server announces itself.
-const BEAT: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an acknowledgement may take.
-const ACKNOWLEDGED: Duration = Duration::from_secs(1);
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Requests of a hundred that are rejected without being run, and that run
 /// long enough for their callers to leave.
-const REJECTED: u32 = 3;
-const LONG: u32 = 5;
+const REJECTED_PERCENT: u32 = 3;
+const SLOW_PERCENT: u32 = 5;
 /// How long after its start a deadly request crashes its server.
-const FUSE: Duration = Duration::from_millis(30);
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 /// How often the port is tried again.
-const BINDS: u32 = 50;
+const MAX_BIND_RETRIES: u32 = 50;
 /// How long those run.
-const LONG_TIME: Duration = Duration::from_millis(1500);
+const SLOW_TIME: Duration = Duration::from_millis(1500);
 
 /// What a server tells of itself.
 #[derive(Clone, Debug)]
-struct Told {
+struct ServerState {
     id: String,
-    born: u64,
+    start_ms: u64,
     sequence: u64,
     /// Whether its announcements say that it leaves.
-    leaving: bool,
+    is_leaving: bool,
     /// Whether its answers do.
-    says_so: bool,
+    signals_leaving: bool,
     /// The requests a second that it takes, while it is in need.
     limit: Option<f64>,
 }
@@ -55,24 +55,24 @@
 struct Shared {
     vm: usize,
     record: Arc<Record>,
-    told: Mutex<Told>,
+    state: Mutex<ServerState>,
     /// When it was acknowledged that the server leaves.
-    left: Mutex<Option<Instant>>,
-    running: Mutex<Option<Running>>,
+    leave_ack: Mutex<Option<Instant>>,
+    active_run: Mutex<Option<ActiveRun>>,
     /// Told when a request has crashed the server.
     crashed: Notify,
 }
 
 /// What ends with a run of the server.
 #[derive(Debug)]
-struct Running {
+struct ActiveRun {
     _listening: HttpListener,
-    beats: JoinHandle<()>,
+    announcer: JoinHandle<()>,
 }
 
-impl Drop for Running {
+impl Drop for ActiveRun {
     fn drop(&mut self) {
-        self.beats.abort();
+        self.announcer.abort();
     }
 }
 
@@ -86,14 +86,14 @@
 impl Shared {
     /// Ends the run of the server; returns whether there was one.
     fn end(&self) -> bool {
-        self.running.lock().take().is_some()
+        self.active_run.lock().take().is_some()
     }
 
     /// Crashes the server under a deadly request.
-    async fn crash_under(&self, deadly: u64) {
-        tokio::time::sleep(FUSE).await;
+    async fn crash_after_delay(&self, deadly: u64) {
+        tokio::time::sleep(CRASH_DELAY).await;
         if self.end() {
-            self.record.crashed(deadly);
+            self.record.record_crash(deadly);
             self.crashed.notify_one();
         }
     }
@@ -106,21 +106,21 @@
 
 impl Backend {
     pub(crate) fn new(vm: usize, addresses: Addresses, record: Arc<Record>) -> Self {
-        let told = Told {
+        let state = ServerState {
             id: format!("i-{vm}-0"),
-            born: 0,
+            start_ms: 0,
             sequence: 0,
-            leaving: false,
-            says_so: false,
+            is_leaving: false,
+            signals_leaving: false,
             limit: None,
         };
         Self {
             shared: Arc::new(Shared {
                 vm,
                 record,
-                told: Mutex::new(told),
-                left: Mutex::default(),
-                running: Mutex::default(),
+                state: Mutex::new(state),
+                leave_ack: Mutex::default(),
+                active_run: Mutex::default(),
                 crashed: Notify::new(),
             }),
             addresses,
@@ -130,30 +130,30 @@
     /// Starts a run, with a new id or under the one it had.
     pub(crate) async fn start(&mut self, same_id: bool) -> eyre::Result<()> {
         {
-            let mut told = self.shared.told.lock();
-            let born = unix_ms().max(told.born + 1);
+            let mut state = self.shared.state.lock();
+            let start_ms = unix_ms().max(state.start_ms + 1);
             let id = if same_id {
-                told.id.clone()
+                state.id.clone()
             } else {
-                format!("i-{}-{born}", self.shared.vm)
+                format!("i-{}-{start_ms}", self.shared.vm)
             };
-            *told = Told {
+            *state = ServerState {
                 id,
-                born,
+                start_ms,
                 sequence: 0,
-                leaving: false,
-                says_so: false,
+                is_leaving: false,
+                signals_leaving: false,
                 limit: None,
             };
         }
-        *self.shared.left.lock() = None;
-        let listening = self.listen().await?;
+        *self.shared.leave_ack.lock() = None;
+        let listener = self.listen().await?;
         let shared = Arc::clone(&self.shared);
-        let running = Running {
-            _listening: listening,
-            beats: tokio::spawn(announce(shared, self.addresses.announcements)),
+        let active_run = ActiveRun {
+            _listening: listener,
+            announcer: tokio::spawn(announce(shared, self.addresses.announcements)),
         };
-        *self.shared.running.lock() = Some(running);
+        *self.shared.active_run.lock() = Some(active_run);
         Ok(())
     }
 
@@ -162,12 +162,12 @@
         let mut tries = 0;
         loop {
             let shared = Arc::clone(&self.shared);
-            let served = listen(self.addresses.backend, move |request, _| {
+            let listener = listen(self.addresses.backend, move |request, _| {
                 handle(Arc::clone(&shared), request)
             });
-            match served.await {
-                Ok(listening) => return Ok(listening),
-                Err(e) if tries == BINDS => return Err(e.into()),
+            match listener.await {
+                Ok(listener) => return Ok(listener),
+                Err(e) if tries == MAX_BIND_RETRIES => return Err(e.into()),
                 Err(_) => tries += 1,
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -181,49 +181,49 @@
 
     /// Tells whether the server is down.
     pub(crate) fn is_down(&self) -> bool {
-        self.shared.running.lock().is_none()
+        self.shared.active_run.lock().is_none()
     }
 
     /// Returns what waits until a request has crashed the server.
-    pub(crate) fn crashes(&self) -> impl Future<Output = ()> + use<> {
+    pub(crate) fn wait_for_crash(&self) -> impl Future<Output = ()> + use<> {
         let shared = Arc::clone(&self.shared);
         async move { shared.crashed.notified().await }
     }
 
     /// Names a rate with all answers of this run from now on, unless it names one;
     /// returns whether it named none before.
-    pub(crate) fn limit(&self, rate: f64) -> bool {
-        let mut told = self.shared.told.lock();
-        let began = told.limit.is_none();
-        told.limit.get_or_insert(rate);
+    pub(crate) fn begin_limit(&self, rate: f64) -> bool {
+        let mut state = self.shared.state.lock();
+        let began = state.limit.is_none();
+        state.limit.get_or_insert(rate);
         began
     }
 
     /// Names no rate any more.
-    pub(crate) fn recover(&self) {
-        let mut told = self.shared.told.lock();
-        told.limit = None;
+    pub(crate) fn end_limit(&self) {
+        let mut state = self.shared.state.lock();
+        state.limit = None;
         self.shared
             .record
-            .words
-            .recovered((self.shared.vm, told.born));
+            .notices
+            .record_recovery((self.shared.vm, state.start_ms));
     }
 
     /// Says with answers alone that the server leaves.
-    pub(crate) fn say_leaving(&self) {
-        self.shared.told.lock().says_so = true;
+    pub(crate) fn signal_leaving(&self) {
+        self.shared.state.lock().signals_leaving = true;
     }
 
     /// Says that the server leaves; returns whether that was acknowledged.
-    pub(crate) async fn leave(&self, wait: Duration) -> bool {
+    pub(crate) async fn announce_leaving(&self, wait: Duration) -> bool {
         {
-            let mut told = self.shared.told.lock();
-            told.leaving = true;
-            told.says_so = true;
+            let mut state = self.shared.state.lock();
+            state.is_leaving = true;
+            state.signals_leaving = true;
         }
         let end = Instant::now() + wait;
         while Instant::now() < end {
-            if self.shared.left.lock().is_some() {
+            if self.shared.leave_ack.lock().is_some() {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -232,51 +232,55 @@
     }
 
     /// Returns when it was acknowledged that the server leaves.
-    pub(crate) fn left(&self) -> Option<Instant> {
-        *self.shared.left.lock()
+    pub(crate) fn leave_ack(&self) -> Option<Instant> {
+        *self.shared.leave_ack.lock()
     }
 }
 
 async fn announce(shared: Arc<Shared>, to: SocketAddr) {
-    let client = Client::new(ACKNOWLEDGED, 4096);
+    let client = Client::new(ACK_TIMEOUT, 4096);
     loop {
-        let told = {
-            let mut told = shared.told.lock();
-            told.sequence += 1;
-            told.clone()
+        let state = {
+            let mut state = shared.state.lock();
+            state.sequence += 1;
+            state.clone()
+        };
+        let status = if state.is_leaving {
+            "draining"
+        } else {
+            "ready"
         };
-        let state = if told.leaving { "draining" } else { "ready" };
         let body = format!(
-            r#"{{"upstream":"{}","address":"127.0.0.1:1","zone":"z","version":"v1","slots":{SLOTS},
-            "state":"{state}","coldLeftS":0,"sequence":{},"born":{}}}"#,
-            service(shared.vm),
-            told.sequence,
-            told.born
+            r#"{{"upstream":"{}","address":"127.0.0.1:1","zone":"z","version":"v1","slots":{BACKEND_SLOTS},
+            "state":"{status}","coldLeftS":0,"sequence":{},"born":{}}}"#,
+            service_of(shared.vm),
+            state.sequence,
+            state.start_ms
         );
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::PUT;
-        *request.uri_mut() = format!("http://{to}/instances/{}", told.id)
+        *request.uri_mut() = format!("http://{to}/instances/{}", state.id)
             .parse()
             .expect("a URI");
-        let heard = client.send(request).await;
-        let heard = heard.is_ok_and(|answer| answer.status.is_success());
-        if heard && told.leaving {
-            shared.left.lock().get_or_insert_with(Instant::now);
+        let is_acknowledged = client.send(request).await;
+        let is_acknowledged = is_acknowledged.is_ok_and(|answer| answer.status.is_success());
+        if is_acknowledged && state.is_leaving {
+            shared.leave_ack.lock().get_or_insert_with(Instant::now);
         }
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
 /// Notes the end of a run, also where its connection closes first.
-struct Working {
+struct RunGuard {
     shared: Arc<Shared>,
     id: String,
-    place: usize,
+    index: usize,
 }
 
-impl Drop for Working {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.shared.record.run_ended(&self.id, self.place);
+        self.shared.record.record_run_end(&self.id, self.index);
     }
 }
 
@@ -286,10 +290,10 @@
         let value = head.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    let (id, meant) = (text("x-request-id"), text("x-expect-instance"));
-    let told = shared.told.lock().clone();
-    let own = told.id.clone();
-    let server = (shared.vm, told.born);
+    let (id, expected_id) = (text("x-request-id"), text("x-expect-instance"));
+    let state = shared.state.lock().clone();
+    let own_id = state.id.clone();
+    let server = (shared.vm, state.start_ms);
     let mut answer = caller_text(StatusCode::OK, "text/plain", format!("answer to {id}"));
     let mut put = |name: &'static str, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
@@ -297,45 +301,45 @@
         }
     };
     put("x-request-id", &id);
-    if meant != own {
-        put("x-instance-id", &own);
+    if expected_id != own_id {
+        put("x-instance-id", &own_id);
         *answer.status_mut() = StatusCode::MISDIRECTED_REQUEST;
         return answer;
     }
-    put(words::RUN, &words::name(server));
-    if told.says_so {
+    put(notices::RUN_HEADER, &notices::format_run_key(server));
+    if state.signals_leaving {
         put("server-leaving", "1");
     }
-    if let Some(rate) = told.limit {
-        shared.record.words.named(server, rate);
+    if let Some(rate) = state.limit {
+        shared.record.notices.record_limit(server, rate);
         put("server-limit", &rate.to_string());
     }
     let path = head.uri.path();
-    let deadly = deadly_of(path);
-    let rejected = deadly.is_none() && rand::rng().random_ratio(REJECTED, 100);
+    let deadly = deadly_number(path);
+    let rejected = deadly.is_none() && rand::rng().random_ratio(REJECTED_PERCENT, 100);
     let body = body.collect().await.map(|body| body.to_bytes());
-    let (method, sent) = match deadly {
+    let (method, expected_body) = match deadly {
         Some(_) => (Method::POST, DEADLY_BODY.to_owned()),
         None if is_pipelined(&id) => (Method::GET, String::new()),
-        None => (Method::POST, crate::caller::body(&id)),
+        None => (Method::POST, crate::caller::request_body(&id)),
     };
     let run = Run {
         vm: shared.vm,
         server,
-        service: service(shared.vm),
+        service: service_of(shared.vm),
         origin: text("x-caller-service"),
         at: Instant::now(),
-        ended: None,
+        end_time: None,
         rejected,
         unchanged: head.method == method
             && (path.ends_with(&id) || deadly.is_some())
-            && body.is_ok_and(|body| *body == *sent.as_bytes()),
+            && body.is_ok_and(|body| *body == *expected_body.as_bytes()),
     };
-    let place = shared.record.ran(&id, run);
-    let _working = Working {
+    let index = shared.record.record_run(&id, run);
+    let _guard = RunGuard {
         shared: Arc::clone(&shared),
         id,
-        place,
+        index,
     };
     if rejected {
         put("x-not-executed", "1");
@@ -343,11 +347,11 @@
         return answer;
     }
     if let Some(deadly) = deadly {
-        shared.crash_under(deadly).await;
+        shared.crash_after_delay(deadly).await;
     }
     put("x-server-signature", "signed");
-    let time = if rand::rng().random_ratio(LONG, 100) {
-        LONG_TIME
+    let time = if rand::rng().random_ratio(SLOW_PERCENT, 100) {
+        SLOW_TIME
     } else {
         Duration::from_millis(rand::rng().random_range(2..40))
     };
--- a/examples/soak/caller.rs
+++ b/examples/soak/caller.rs
@@ -13,35 +13,35 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::estate::{Addresses, DEADLY, MOVED, READ, WRITE, deadly_of};
-use crate::record::{End, Record};
+use crate::estate::{Addresses, DEADLY_PATH, MOVED_PATH, READ_PATH, WRITE_PATH, deadly_number};
+use crate::record::{Outcome, Record};
 
 /// How long a caller waits for an answer.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(3);
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_PAUSE: Duration = Duration::from_millis(40);
 /// Requests of a hundred that their callers leave, and after which time.
-const LEFT: u32 = 4;
-const LEFT_AFTER: Duration = Duration::from_millis(150);
+const ABANDONED_PERCENT: u32 = 4;
+const ABANDON_DELAY: Duration = Duration::from_millis(150);
 
 /// The body of all deadly requests.
 pub(crate) const DEADLY_BODY: &str = "deadly";
 /// Pause between two sends of the same deadly request.
-const INSIST: Duration = Duration::from_millis(300);
+const DEADLY_PAUSE: Duration = Duration::from_millis(300);
 /// How long one deadly request is sent before another is.
-const ANOTHER: Duration = Duration::from_secs(12);
+const DEADLY_PERIOD: Duration = Duration::from_secs(12);
 /// A refusal that asks to stay away for longer is one of a deadly request;
 /// under overload callers are asked to stay away for a second or two.
-const HELD: f64 = 60.0;
+const MIN_HOLD_SECONDS: f64 = 60.0;
 
 /// Returns for how many seconds an answer asks to stay away.
-fn held_for(headers: &HeaderMap) -> f64 {
+fn retry_after_seconds(headers: &HeaderMap) -> f64 {
     let told = headers.get("retry-after").and_then(|at| at.to_str().ok());
     told.and_then(|at| at.parse().ok()).unwrap_or_default()
 }
 
 /// Returns the body of a request.
-pub(crate) fn body(id: &str) -> String {
+pub(crate) fn request_body(id: &str) -> String {
     format!("body of {id}")
 }
 
@@ -57,26 +57,26 @@
 impl Caller {
     pub(crate) fn new(
         vm: usize,
-        place: usize,
+        index: usize,
         seed: u64,
         at: &Addresses,
         record: Arc<Record>,
     ) -> Self {
-        let dial = Dialer {
+        let dialer = Dialer {
             address: at.callers,
             local_ip: None,
             timeout: Duration::from_secs(1),
             ack_timeout: None,
         };
-        let keep = PoolLimits {
+        let limits = PoolLimits {
             max_idle: 1,
             idle_timeout: Duration::from_secs(60),
         };
         Self {
             vm,
-            name: format!("c{vm}x{place}"),
-            rng: StdRng::seed_from_u64(seed ^ (vm * 1000 + place) as u64),
-            connections: ConnectionPool::new(dial, keep),
+            name: format!("c{vm}x{index}"),
+            rng: StdRng::seed_from_u64(seed ^ (vm * 1000 + index) as u64),
+            connections: ConnectionPool::new(dialer, limits),
             record,
         }
     }
@@ -88,46 +88,48 @@
             count += 1;
             let id = format!("{}n{count}", self.name);
             let path = match self.rng.random_range(0..10) {
-                0..5 => READ,
-                5..8 => WRITE,
-                _ => MOVED,
+                0..5 => READ_PATH,
+                5..8 => WRITE_PATH,
+                _ => MOVED_PATH,
             };
-            let leaves = path == READ && self.rng.random_ratio(LEFT, 100);
-            let wait = if leaves { LEFT_AFTER } else { DEADLINE };
-            self.record.sent(&id, self.vm, path, None);
+            let abandons = path == READ_PATH && self.rng.random_ratio(ABANDONED_PERCENT, 100);
+            let timeout = if abandons { ABANDON_DELAY } else { DEADLINE };
+            self.record.record_sent(&id, self.vm, path, None);
             let target = format!("{path}{id}");
-            let body = body(&id);
-            let asked = self.ask(&id, &target, &body);
-            let end = match tokio::time::timeout(wait, asked).await {
-                Ok(end) => end,
-                Err(_) if leaves => End::Left,
-                Err(_) => End::Cut,
+            let body = request_body(&id);
+            let sending = self.send(&id, &target, &body);
+            let outcome = match tokio::time::timeout(timeout, sending).await {
+                Ok(outcome) => outcome,
+                Err(_) if abandons => Outcome::Left,
+                Err(_) => Outcome::Cut,
             };
-            self.record.ended(&id, end);
-            tokio::time::sleep(PAUSE.mul_f64(self.rng.random_range(0.5..1.5))).await;
+            self.record.record_outcome(&id, outcome);
+            tokio::time::sleep(REQUEST_PAUSE.mul_f64(self.rng.random_range(0.5..1.5))).await;
         }
     }
 
     /// Sends the same request again and again, and after some time another one
     /// that crashes servers, until `stop` is told; no other one after `end`,
     /// since that would be a fault.
-    pub(crate) async fn insist(mut self, stop: watch::Receiver<bool>, end: Instant) {
+    pub(crate) async fn repeat_deadly_request(mut self, stop: watch::Receiver<bool>, end: Instant) {
         let (start, mut count) = (Instant::now(), 0);
         while !*stop.borrow() {
             count += 1;
             let elapsed = Instant::now().min(end).saturating_duration_since(start);
-            let deadly = elapsed.as_secs() / ANOTHER.as_secs();
+            let deadly = elapsed.as_secs() / DEADLY_PERIOD.as_secs();
             let id = format!("{}d{count}", self.name);
-            let target = format!("{DEADLY}{deadly}");
-            self.record.sent(&id, self.vm, DEADLY, Some(deadly));
-            let asked = self.ask(&id, &target, DEADLY_BODY);
-            let end = tokio::time::timeout(DEADLINE, asked).await;
-            self.record.ended(&id, end.unwrap_or(End::Cut));
-            tokio::time::sleep(INSIST.mul_f64(self.rng.random_range(0.5..1.5))).await;
+            let target = format!("{DEADLY_PATH}{deadly}");
+            self.record
+                .record_sent(&id, self.vm, DEADLY_PATH, Some(deadly));
+            let sending = self.send(&id, &target, DEADLY_BODY);
+            let outcome = tokio::time::timeout(DEADLINE, sending).await;
+            self.record
+                .record_outcome(&id, outcome.unwrap_or(Outcome::Cut));
+            tokio::time::sleep(DEADLY_PAUSE.mul_f64(self.rng.random_range(0.5..1.5))).await;
         }
     }
 
-    async fn ask(&self, id: &str, target: &str, body: &str) -> End {
+    async fn send(&self, id: &str, target: &str, body: &str) -> Outcome {
         let mut request = Request::new(Full::new(Bytes::copy_from_slice(body.as_bytes())));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = target.parse().expect("a path");
@@ -141,32 +143,33 @@
         );
         let answer = match self.connections.request(request).await {
             Ok(answer) => answer,
-            Err(RequestError::Connect(_)) => return End::Unreached,
-            Err(RequestError::NoAnswer(_)) => return End::Cut,
+            Err(RequestError::Connect(_)) => return Outcome::Unreached,
+            Err(RequestError::NoAnswer(_)) => return Outcome::Cut,
         };
         let (head, body) = answer.into_parts();
         let Ok(body) = body.collect().await else {
-            return End::Cut;
+            return Outcome::Cut;
         };
-        self.record.words.passed(self.vm, &head.headers);
-        let of = head
+        self.record.notices.record_relay(self.vm, &head.headers);
+        let answer_id = head
             .headers
             .get("x-request-id")
-            .and_then(|of| of.to_str().ok());
+            .and_then(|value| value.to_str().ok());
         let signed = head.headers.contains_key("x-server-signature");
         let whole = *body.to_bytes() == *format!("answer to {id}").as_bytes();
-        if held_for(&head.headers) > HELD && deadly_of(target).is_none() {
-            self.record.held.lock().push(id.to_owned());
+        if retry_after_seconds(&head.headers) > MIN_HOLD_SECONDS && deadly_number(target).is_none()
+        {
+            self.record.held_ids.lock().push(id.to_owned());
         }
         // A refusal of the daemon itself may leave the id out.
-        let own = of.is_none_or(|of| of == id);
-        End::Answered {
+        let id_fits = answer_id.is_none_or(|value| value == id);
+        Outcome::Answered {
             status: head.status.as_u16(),
             signed,
             fits: if head.status.is_success() {
-                of == Some(id) && whole
+                answer_id == Some(id) && whole
             } else {
-                own
+                id_fits
             },
         }
     }
--- a/examples/soak/check.rs
+++ b/examples/soak/check.rs
@@ -8,139 +8,153 @@
 
 use tokio::time::Instant;
 
-use crate::estate::{MOVED, READ, RETRY_SHARE, RETRY_SLACK, WRITE, moved_to, service};
+use crate::estate::{
+    MOVED_PATH, READ_PATH, RETRY_SHARE, RETRY_SLACK, WRITE_PATH, moved_path_service, service_of,
+};
 use crate::faults::World;
-use crate::record::{End, Record, Run, Sent};
-use crate::vm::touches;
-use crate::words;
+use crate::notices;
+use crate::record::{Outcome, Record, RequestRecord, Run};
+use crate::vm::overlaps_any;
 
 /// How long a VM must have been undisturbed for bounds on time to hold.
-pub(crate) const CONTACT: Duration = Duration::from_secs(3);
+pub(crate) const UNDISTURBED_TIME: Duration = Duration::from_secs(3);
 /// Until a version is in force everywhere.
-const IN_FORCE: Duration = Duration::from_millis(2250);
+const VERSION_DELAY: Duration = Duration::from_millis(2250);
 /// Until a server that leaves gets nothing more.
-pub(crate) const DRAINED: Duration = Duration::from_millis(2000);
+pub(crate) const DRAIN_DELAY: Duration = Duration::from_millis(2000);
 /// Until the work of a request ends that its caller left.
-const ENDED: Duration = Duration::from_millis(500);
+const CANCEL_DELAY: Duration = Duration::from_millis(500);
 /// The window in which repeats are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 /// Crashes of one request that are allowed, and how often it may reach servers
 /// after all can know of them.
-const CRASHES: usize = 3;
-const MOST_LATER: usize = 3;
+const ALLOWED_CRASHES: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 /// Time of the process that watches, which may be late itself.
-pub(crate) const LATE: Duration = Duration::from_millis(100);
+pub(crate) const MEASUREMENT_SLACK: Duration = Duration::from_millis(100);
 
 /// One broken promise.
 #[derive(Clone, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct Violation {
     pub(crate) rule: &'static str,
     /// The request, if it is one.
     pub(crate) id: String,
     pub(crate) at: Instant,
-    pub(crate) what: String,
+    pub(crate) detail: String,
 }
 
 /// Judges all that was recorded.
-pub(crate) fn judge(world: &World, record: &Record) -> Vec<Broken> {
-    let sent = record.sent.lock();
-    let mut broken: Vec<Broken> = Vec::new();
-    for (id, one) in sent.iter() {
+pub(crate) fn check_promises(world: &World, record: &Record) -> Vec<Violation> {
+    let requests = record.requests.lock();
+    let mut violations: Vec<Violation> = Vec::new();
+    for (id, request) in requests.iter() {
         let found = [
-            ("TWICE", twice(one)),
-            ("REFUSED", refused(one)),
-            ("MIXED", mixed(one)),
-            ("ROUTE", route(one)),
-            ("UNASKED", unasked(one)),
-            ("CONFIG", config(world, one)),
-            ("DRAIN", drain(world, one)),
-            ("DRAIN", words::leaving(world, &record.words, one)),
-            ("LOST", lost(world, one)),
+            ("TWICE", twice(request)),
+            ("REFUSED", refused(request)),
+            ("MIXED", mixed(request)),
+            ("ROUTE", route(request)),
+            ("UNASKED", unasked(request)),
+            ("CONFIG", config(world, request)),
+            ("DRAIN", drain(world, request)),
+            (
+                "DRAIN",
+                notices::leaving_violation(world, &record.notices, request),
+            ),
+            ("LOST", lost(world, request)),
         ];
-        for (rule, what) in found {
-            broken.extend(what.map(|what| Broken {
+        for (rule, detail) in found {
+            violations.extend(detail.map(|detail| Violation {
                 rule,
                 id: id.clone(),
-                at: one.at,
-                what,
+                at: request.at,
+                detail,
             }));
         }
     }
-    broken.extend(gone(world, sent.values()));
-    broken.extend(budget(sent.values()));
-    broken.extend(words::limit(world, &record.words, sent.values()));
-    broken.extend(deadly(world, record, sent.values()));
-    broken.extend(record.held.lock().iter().map(|id| Broken {
-        rule: "HELD",
-        id: id.clone(),
-        at: sent.get(id).map_or_else(Instant::now, |sent| sent.at),
-        what: "it was held like a request that crashes servers".into(),
+    violations.extend(abandoned_work(world, requests.values()));
+    violations.extend(budget(requests.values()));
+    violations.extend(notices::limit_violations(
+        world,
+        &record.notices,
+        requests.values(),
+    ));
+    violations.extend(late_deadly_runs(world, record, requests.values()));
+    violations.extend(record.held_ids.lock().iter().map(|id| {
+        Violation {
+            rule: "HELD",
+            id: id.clone(),
+            at: requests
+                .get(id)
+                .map_or_else(Instant::now, |request| request.at),
+            detail: "it was held like a request that crashes servers".into(),
+        }
     }));
     let now = Instant::now();
-    broken.extend(record.unasked.lock().iter().map(|id| Broken {
+    violations.extend(record.unknown_ids.lock().iter().map(|id| Violation {
         rule: "UNASKED",
         id: id.clone(),
         at: now,
-        what: "no caller sent it".into(),
+        detail: "no caller sent it".into(),
     }));
-    broken
+    violations
 }
 
-fn begun(sent: &Sent) -> impl Iterator<Item = &Run> {
-    sent.runs.iter().filter(|run| !run.rejected)
+fn started_runs(request: &RequestRecord) -> impl Iterator<Item = &Run> {
+    request.runs.iter().filter(|run| !run.rejected)
 }
 
-fn twice(sent: &Sent) -> Option<String> {
-    let runs = begun(sent).count();
-    (sent.path == WRITE && runs > 1).then(|| format!("it ran {runs} times"))
+fn twice(request: &RequestRecord) -> Option<String> {
+    let runs = started_runs(request).count();
+    (request.path == WRITE_PATH && runs > 1).then(|| format!("it ran {runs} times"))
 }
 
-fn refused(sent: &Sent) -> Option<String> {
+fn refused(request: &RequestRecord) -> Option<String> {
     let promised = matches!(
-        sent.end,
+        request.outcome,
         Some((
             _,
-            End::Answered {
+            Outcome::Answered {
                 status: 408 | 421 | 429 | 503,
                 signed: false,
                 ..
             }
         ))
     );
-    let ran = begun(sent).count();
-    (sent.path == WRITE && promised && ran > 0).then(|| "it was said not to have run".into())
+    let ran = started_runs(request).count();
+    (request.path == WRITE_PATH && promised && ran > 0)
+        .then(|| "it was said not to have run".into())
 }
 
-fn mixed(sent: &Sent) -> Option<String> {
+fn mixed(request: &RequestRecord) -> Option<String> {
     let Some((
         _,
-        End::Answered {
+        Outcome::Answered {
             status,
             signed,
             fits,
         },
-    )) = &sent.end
+    )) = &request.outcome
     else {
         return None;
     };
     let success = (200..300).contains(status);
-    let wrong = !fits || success && !signed || success && begun(sent).count() == 0;
+    let wrong = !fits || success && !signed || success && started_runs(request).count() == 0;
     wrong.then(|| format!("status {status}, signed {signed}, fits {fits}"))
 }
 
-fn route(sent: &Sent) -> Option<String> {
-    let allowed = |run: &&Run| match sent.path {
-        READ => run.service == "front",
-        WRITE => run.service == "back",
+fn route(request: &RequestRecord) -> Option<String> {
+    let allowed = |run: &&Run| match request.path {
+        READ_PATH => run.service == "front",
+        WRITE_PATH => run.service == "back",
         _ => true,
     };
-    let wrong = sent.runs.iter().find(|run| !allowed(run))?;
+    let wrong = request.runs.iter().find(|run| !allowed(run))?;
     Some(format!("{} ran it", wrong.service))
 }
 
-fn unasked(sent: &Sent) -> Option<String> {
-    let own = service(sent.vm);
-    let wrong = sent
+fn unasked(request: &RequestRecord) -> Option<String> {
+    let own = service_of(request.vm);
+    let wrong = request
         .runs
         .iter()
         .find(|run| !run.unchanged || run.origin != own)?;
@@ -151,17 +165,17 @@
 }
 
 /// Tells whether a VM and the store were undisturbed from `CONTACT` before.
-fn in_touch(world: &World, vm: usize, from: Instant, to: Instant) -> bool {
-    let since = from.checked_sub(CONTACT).unwrap_or(from);
+fn is_undisturbed(world: &World, vm: usize, from: Instant, to: Instant) -> bool {
+    let since = from.checked_sub(UNDISTURBED_TIME).unwrap_or(from);
     let daemon = &world.vms[vm];
-    !touches(&daemon.disturbed.lock(), since, to)
-        && !touches(&daemon.stops.lock(), since, to)
-        && !touches(&world.store_spans.lock(), since, to)
+    !overlaps_any(&daemon.disturbances.lock(), since, to)
+        && !overlaps_any(&daemon.stops.lock(), since, to)
+        && !overlaps_any(&world.store_faults.lock(), since, to)
 }
 
 /// A run by a service that only an older version allows.
-fn config(world: &World, sent: &Sent) -> Option<String> {
-    if sent.path != MOVED {
+fn config(world: &World, request: &RequestRecord) -> Option<String> {
+    if request.path != MOVED_PATH {
         return None;
     }
     let versions = world.versions.lock();
@@ -169,108 +183,123 @@
     let settled = versions
         .iter()
         .rev()
-        .find(|(_, at)| *at + IN_FORCE < sent.at)?
+        .find(|(_, at)| *at + VERSION_DELAY < request.at)?
         .0;
     let allowed = |run: &Run| {
         let may = versions
             .iter()
             .filter(|(v, at)| *v >= settled && *at <= run.at);
-        may.into_iter().any(|(v, _)| moved_to(*v) == run.service)
+        may.into_iter()
+            .any(|(v, _)| moved_path_service(*v) == run.service)
     };
-    let wrong = sent.runs.iter().find(|run| !allowed(run))?;
-    let calm = in_touch(world, sent.vm, sent.at, wrong.at);
-    calm.then(|| format!("{} ran it after version {settled}", wrong.service))
+    let wrong = request.runs.iter().find(|run| !allowed(run))?;
+    let undisturbed = is_undisturbed(world, request.vm, request.at, wrong.at);
+    undisturbed.then(|| format!("{} ran it after version {settled}", wrong.service))
 }
 
 /// A request that reaches a server after it was acknowledged that it leaves.
-fn drain(world: &World, sent: &Sent) -> Option<String> {
-    let leaving = world.leaving.lock();
+fn drain(world: &World, request: &RequestRecord) -> Option<String> {
+    let leaving = world.departures.lock();
     let late = |run: &&Run| {
-        let mut of = leaving.iter().filter(|(vm, ..)| *vm == run.vm);
-        of.any(|(_, left, gone)| run.at > *left + DRAINED + LATE && run.at < *gone)
-            && sent.at > run.at - CONTACT
+        let mut departures = leaving.iter().filter(|(vm, ..)| *vm == run.vm);
+        departures.any(|(_, left, gone)| {
+            run.at > *left + DRAIN_DELAY + MEASUREMENT_SLACK && run.at < *gone
+        }) && request.at > run.at - UNDISTURBED_TIME
     };
-    let run = sent.runs.iter().find(late)?;
-    let calm =
-        in_touch(world, sent.vm, sent.at, run.at) && in_touch(world, run.vm, sent.at, run.at);
-    calm.then(|| format!("it reached vm {}", run.vm))
+    let run = request.runs.iter().find(late)?;
+    let undisturbed = is_undisturbed(world, request.vm, request.at, run.at)
+        && is_undisturbed(world, run.vm, request.at, run.at);
+    undisturbed.then(|| format!("it reached vm {}", run.vm))
 }
 
 /// A request cut by a planned stop of its own daemon after a server began it.
-fn lost(world: &World, sent: &Sent) -> Option<String> {
-    let (end, End::Cut) = sent.end.as_ref()? else {
+fn lost(world: &World, request: &RequestRecord) -> Option<String> {
+    let (end, Outcome::Cut) = request.outcome.as_ref()? else {
         return None;
     };
-    let daemon = &world.vms[sent.vm];
-    let since = sent.at.checked_sub(CONTACT).unwrap_or(sent.at);
-    let planned = touches(&daemon.stops.lock(), since, *end);
+    let daemon = &world.vms[request.vm];
+    let since = request
+        .at
+        .checked_sub(UNDISTURBED_TIME)
+        .unwrap_or(request.at);
+    let planned = overlaps_any(&daemon.stops.lock(), since, *end);
     // Nothing else may have gone wrong on the VMs that the request touched.
-    let sound = |vm: usize| !touches(&world.vms[vm].disturbed.lock(), since, *end);
-    let runs_sound = begun(sent).all(|run| sound(run.vm));
-    let begun = begun(sent).count() > 0;
-    (planned && begun && sound(sent.vm) && runs_sound)
+    let undisturbed = |vm: usize| !overlaps_any(&world.vms[vm].disturbances.lock(), since, *end);
+    let runs_undisturbed = started_runs(request).all(|run| undisturbed(run.vm));
+    let was_started = started_runs(request).count() > 0;
+    (planned && was_started && undisturbed(request.vm) && runs_undisturbed)
         .then(|| "its connection ended at a planned stop".into())
 }
 
 /// Work that goes on after its callers left; more than a quarter of it.
-fn gone<'s>(world: &World, all: impl Iterator<Item = &'s Sent>) -> Option<Broken> {
+fn abandoned_work<'s>(
+    world: &World,
+    all: impl Iterator<Item = &'s RequestRecord>,
+) -> Option<Violation> {
     let (mut left, mut late) = (0, 0);
     let mut example = None;
-    for sent in all {
-        let Some((at, End::Left)) = &sent.end else {
+    for request in all {
+        let Some((at, Outcome::Left)) = &request.outcome else {
             continue;
         };
-        let long = begun(sent).filter(|run| run.ended.is_none_or(|ended| ended > *at));
-        let calm = |run: &&Run| {
-            in_touch(world, sent.vm, sent.at, *at + ENDED)
-                && in_touch(world, run.vm, sent.at, *at + ENDED)
+        let long = started_runs(request).filter(|run| run.end_time.is_none_or(|ended| ended > *at));
+        let undisturbed = |run: &&Run| {
+            is_undisturbed(world, request.vm, request.at, *at + CANCEL_DELAY)
+                && is_undisturbed(world, run.vm, request.at, *at + CANCEL_DELAY)
         };
-        for run in long.filter(calm) {
+        for run in long.filter(undisturbed) {
             left += 1;
-            if run.ended.is_none_or(|ended| ended > *at + ENDED + LATE) {
+            if run
+                .end_time
+                .is_none_or(|ended| ended > *at + CANCEL_DELAY + MEASUREMENT_SLACK)
+            {
                 late += 1;
-                example.get_or_insert(sent.at);
+                example.get_or_insert(request.at);
             }
         }
     }
     let many = late > 3 && late * 4 > left;
-    many.then(|| Broken {
+    many.then(|| Violation {
         rule: "GONE",
         id: String::new(),
         at: example.unwrap_or_else(Instant::now),
-        what: format!("of {left} requests whose callers left {late} were worked on"),
+        detail: format!("of {left} requests whose callers left {late} were worked on"),
     })
 }
 
 /// Repeats at a service beyond what the platform allows in any window.
-fn budget<'s>(all: impl Iterator<Item = &'s Sent>) -> Option<Broken> {
-    let mut first: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    let mut again: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for sent in all {
-        for (n, run) in sent.runs.iter().enumerate() {
-            let list = if n == 0 { &mut first } else { &mut again };
+fn budget<'s>(all: impl Iterator<Item = &'s RequestRecord>) -> Option<Violation> {
+    let mut first_runs: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
+    let mut repeat_runs: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
+    for request in all {
+        for (n, run) in request.runs.iter().enumerate() {
+            let list = if n == 0 {
+                &mut first_runs
+            } else {
+                &mut repeat_runs
+            };
             list.entry(run.service).or_default().push(run.at);
         }
     }
-    for (service, times) in &again {
+    for (service, times) in &repeat_runs {
         for at in times {
             let within =
                 |from: Instant| move |time: &&Instant| **time >= from && **time < from + WINDOW;
             let repeats = times.iter().filter(within(*at)).count() as f64;
-            let firsts = first.get(service).map_or(&[][..], Vec::as_slice);
+            let first_times = first_runs.get(service).map_or(&[][..], Vec::as_slice);
             let count = |back: Duration| {
                 let from = at.checked_sub(back).unwrap_or(*at);
-                firsts.iter().filter(within(from)).count()
+                first_times.iter().filter(within(from)).count()
             };
             let most = count(Duration::ZERO)
                 .max(count(WINDOW))
                 .max(count(WINDOW / 2));
             if repeats > most as f64 * RETRY_SHARE + RETRY_SLACK {
-                return Some(Broken {
+                return Some(Violation {
                     rule: "BUDGET",
                     id: String::new(),
                     at: *at,
-                    what: format!("{repeats} repeats of {most} requests for {service}"),
+                    detail: format!("{repeats} repeats of {most} requests for {service}"),
                 });
             }
         }
@@ -280,22 +309,27 @@
 
 /// Deadly requests that reach servers more often than allowed once all can know
 /// that they crashed three.
-fn deadly<'s>(world: &World, record: &Record, all: impl Iterator<Item = &'s Sent>) -> Vec<Broken> {
+fn late_deadly_runs<'s>(
+    world: &World,
+    record: &Record,
+    all: impl Iterator<Item = &'s RequestRecord>,
+) -> Vec<Violation> {
     let mut crashes: BTreeMap<u64, Vec<Instant>> = BTreeMap::new();
     for (deadly, at) in record.crashes.lock().iter() {
         crashes.entry(*deadly).or_default().push(*at);
     }
     let mut later: BTreeMap<u64, Vec<Instant>> = BTreeMap::new();
-    for sent in all {
-        let third = sent.deadly.and_then(|deadly| {
+    for request in all {
+        let third = request.deadly.and_then(|deadly| {
             let crashes = crashes.get(&deadly)?;
-            Some((deadly, *crashes.get(CRASHES - 1)?))
+            Some((deadly, *crashes.get(ALLOWED_CRASHES - 1)?))
         });
         let Some((deadly, third)) = third else {
             continue;
         };
-        let late = sent.runs.iter().filter(|run| {
-            run.at > third + CONTACT + LATE && in_touch(world, sent.vm, sent.at, run.at)
+        let late = request.runs.iter().filter(|run| {
+            run.at > third + UNDISTURBED_TIME + MEASUREMENT_SLACK
+                && is_undisturbed(world, request.vm, request.at, run.at)
         });
         later
             .entry(deadly)
@@ -304,12 +338,12 @@
     }
     let many = later
         .into_iter()
-        .filter(|(_, runs)| runs.len() > MOST_LATER);
-    many.map(|(deadly, runs)| Broken {
+        .filter(|(_, runs)| runs.len() > MAX_LATE_RUNS);
+    many.map(|(deadly, runs)| Violation {
         rule: "BUDGET",
         id: String::new(),
         at: runs[0],
-        what: format!(
+        detail: format!(
             "deadly request {deadly} reached servers {} times too late; {} ended in all",
             runs.len(),
             crashes[&deadly].len()
@@ -319,32 +353,40 @@
 }
 
 /// Returns how often requests sent in a time ended in each way.
-pub(crate) fn ends(record: &Record, from: Instant, to: Instant) -> BTreeMap<String, usize> {
-    let mut ends = BTreeMap::new();
-    for sent in record.sent.lock().values() {
-        if sent.at >= from && sent.at < to {
-            let end = match &sent.end {
-                Some((_, End::Answered { status, .. })) => status.to_string(),
+pub(crate) fn count_outcomes(
+    record: &Record,
+    from: Instant,
+    to: Instant,
+) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
+    for request in record.requests.lock().values() {
+        if request.at >= from && request.at < to {
+            let end = match &request.outcome {
+                Some((_, Outcome::Answered { status, .. })) => status.to_string(),
                 Some((_, end)) => format!("{end:?}").to_lowercase(),
                 None => "open".into(),
             };
-            *ends
-                .entry(format!("vm {} {} {end}", sent.vm, sent.path))
+            *counts
+                .entry(format!("vm {} {} {end}", request.vm, request.path))
                 .or_default() += 1;
         }
     }
-    ends
+    counts
 }
 
 /// Returns the share of requests sent since `from` that were served.
-pub(crate) fn served(record: &Record, from: Instant, to: Instant) -> (usize, usize) {
-    let sent = record.sent.lock();
-    let ended = sent.values().filter(|s| s.at >= from && s.at < to);
-    let judged = ended.filter(|s| s.deadly.is_none() && !matches!(s.end, Some((_, End::Left))));
+pub(crate) fn count_served(record: &Record, from: Instant, to: Instant) -> (usize, usize) {
+    let requests = record.requests.lock();
+    let ended = requests.values().filter(|s| s.at >= from && s.at < to);
+    let judged =
+        ended.filter(|s| s.deadly.is_none() && !matches!(s.outcome, Some((_, Outcome::Left))));
     let mut counts = (0, 0);
-    for one in judged {
+    for request in judged {
         counts.1 += 1;
-        let good = matches!(one.end, Some((_, End::Answered { status: 200, .. })));
+        let good = matches!(
+            request.outcome,
+            Some((_, Outcome::Answered { status: 200, .. }))
+        );
         counts.0 += usize::from(good);
     }
     counts
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -11,23 +11,23 @@
 use tokio::time::Instant;
 
 use crate::backend::Backend;
-use crate::estate::document;
+use crate::estate::configuration_document;
 use crate::proxy::{Mode, Proxy};
 use crate::rows::{RowsStandIn, Trouble};
-use crate::vm::{GRACE, Signal, Span, Vm};
+use crate::vm::{GRACE_PERIOD, Signal, Span, Vm};
 
 /// How much longer than its grace a daemon is waited for.
-const PATIENCE: Duration = Duration::from_secs(1);
+const STOP_SLACK: Duration = Duration::from_secs(1);
 /// Until a server that leaves may end: the platform's bound, and a little more.
-const LEAVING: Duration = Duration::from_millis(2500);
+const LEAVE_TIME: Duration = Duration::from_millis(2500);
 
 /// How long a server is in need at the least: until the bound holds, and a window.
-const NEED: Duration = Duration::from_secs(8);
+const MIN_LIMIT_TIME: Duration = Duration::from_secs(8);
 /// The requests a second that servers in need take.
-const LIMITS: [f64; 4] = [0.0, 0.8, 4.5, 15.0];
+const SERVER_RATES: [f64; 4] = [0.0, 0.8, 4.5, 15.0];
 
 /// How long a server is away that a request has crashed.
-const CRASHED: Duration = Duration::from_secs(1);
+const CRASH_DOWNTIME: Duration = Duration::from_secs(1);
 
 /// The kinds of faults and of planned work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 ];
 
 /// A version of the configuration, and when it was acknowledged.
-pub(crate) type Accepted = (u64, Instant);
+pub(crate) type AcceptedVersion = (u64, Instant);
 
 /// All that faults act on.
 pub(crate) struct World {
@@ -87,49 +87,50 @@
     pub(crate) proxies: Vec<Proxy>,
     pub(crate) backends: Vec<tokio::sync::Mutex<Backend>>,
     pub(crate) store: Arc<RowsStandIn>,
-    pub(crate) versions: Mutex<Vec<Accepted>>,
+    pub(crate) versions: Mutex<Vec<AcceptedVersion>>,
     /// When the store was disturbed.
-    pub(crate) store_spans: Mutex<Vec<Span>>,
+    pub(crate) store_faults: Mutex<Vec<Span>>,
     /// When an acknowledgement came that a VM's server leaves, and when
     /// another server was there.
-    pub(crate) leaving: Mutex<Vec<(usize, Instant, Instant)>>,
+    pub(crate) departures: Mutex<Vec<(usize, Instant, Instant)>>,
     /// What was done, for people.
-    pub(crate) steps: Mutex<Vec<(Instant, String)>>,
+    pub(crate) fault_log: Mutex<Vec<(Instant, String)>>,
     /// What broke at once.
-    pub(crate) broken: Mutex<Vec<String>>,
+    pub(crate) failures: Mutex<Vec<String>>,
 }
 
 impl World {
     /// Sends a version to the store, which acknowledges it.
-    pub(crate) fn configure(&self) {
+    pub(crate) fn publish_version(&self) {
         let mut versions = self.versions.lock();
         let version = versions.last().map_or(1, |(version, _)| version + 1);
-        self.store.put("op", "config", &document(version));
+        self.store
+            .put("op", "config", &configuration_document(version));
         versions.push((version, Instant::now()));
     }
 
-    fn step(&self, vm: usize, fault: Fault) {
+    fn log_fault(&self, vm: usize, fault: Fault) {
         let text = format!("vm {vm}: {fault:?}");
-        self.steps.lock().push((Instant::now(), text));
+        self.fault_log.lock().push((Instant::now(), text));
     }
 
     /// Injects one fault and waits until it is over.
     async fn inject(&self, vm: usize, fault: Fault, time: Duration) {
-        self.step(vm, fault);
+        self.log_fault(vm, fault);
         match fault {
             Fault::Kill => self.kill(vm, time).await,
             Fault::Terminate => self.terminate(vm).await,
             Fault::Pause => self.pause(vm, time).await,
             Fault::HangUp => self.vms[vm].signal(Signal::HangUp),
-            Fault::Cut(mode) => self.cut(vm, mode, time).await,
-            Fault::Store(trouble) => self.trouble(trouble, time).await,
+            Fault::Cut(mode) => self.disturb_proxy(vm, mode, time).await,
+            Fault::Store(trouble) => self.disturb_store(trouble, time).await,
             Fault::Crash { same_id } => self.crash(vm, same_id, time).await,
             Fault::Replace => self.replace(vm).await,
-            Fault::Slip => self.slip(vm).await,
-            Fault::Need => self.need(vm, time).await,
+            Fault::Slip => self.leave_by_answers(vm).await,
+            Fault::Need => self.limit_rate(vm, time).await,
             Fault::Configure { count } => {
                 for _ in 0..count {
-                    self.configure();
+                    self.publish_version();
                     tokio::time::sleep(Duration::from_millis(300)).await;
                 }
             }
@@ -137,26 +138,27 @@
     }
 
     async fn kill(&self, vm: usize, time: Duration) {
-        let (place, since) = (self.vms[vm].disturb(), Instant::now());
+        let (index, since) = (self.vms[vm].begin_disturbance(), Instant::now());
         self.vms[vm].signal(Signal::Kill);
-        self.vms[vm].wait(PATIENCE).await;
+        self.vms[vm].wait_for_exit(STOP_SLACK).await;
         tokio::time::sleep(time).await;
         self.start(vm);
-        self.vms[vm].upset(since);
-        self.vms[vm].calm(place);
+        self.vms[vm].record_daemon_fault(since);
+        self.vms[vm].end_disturbance(index);
     }
 
     async fn terminate(&self, vm: usize) {
         let daemon = &self.vms[vm];
-        let told = Instant::now();
-        daemon.stops.lock().push((told, None));
+        let start = Instant::now();
+        daemon.stops.lock().push((start, None));
         daemon.signal(Signal::Term);
-        let ended = daemon.wait(GRACE + PATIENCE).await;
-        let took = told.elapsed();
-        let alone = !crate::vm::touches(&daemon.disturbed.lock(), told, Instant::now());
-        if !ended || took > GRACE && alone {
-            let text = format!("LOST: vm {vm} took {took:?} to stop, {GRACE:?} are its grace");
-            self.broken.lock().push(text);
+        let ended = daemon.wait_for_exit(GRACE_PERIOD + STOP_SLACK).await;
+        let duration = start.elapsed();
+        let alone = !crate::vm::overlaps_any(&daemon.disturbances.lock(), start, Instant::now());
+        if !ended || duration > GRACE_PERIOD && alone {
+            let text =
+                format!("LOST: vm {vm} took {duration:?} to stop, {GRACE_PERIOD:?} are its grace");
+            self.failures.lock().push(text);
         }
         if !ended {
             self.kill(vm, Duration::ZERO).await;
@@ -170,103 +172,103 @@
 
     fn start(&self, vm: usize) {
         if let Err(e) = self.vms[vm].start() {
-            self.broken
+            self.failures
                 .lock()
                 .push(format!("vm {vm} does not start: {e}"));
         }
     }
 
     async fn pause(&self, vm: usize, time: Duration) {
-        let (place, since) = (self.vms[vm].disturb(), Instant::now());
+        let (index, since) = (self.vms[vm].begin_disturbance(), Instant::now());
         self.vms[vm].signal(Signal::Stop);
         tokio::time::sleep(time).await;
         self.vms[vm].signal(Signal::Continue);
-        self.vms[vm].upset(since);
-        self.vms[vm].calm(place);
+        self.vms[vm].record_daemon_fault(since);
+        self.vms[vm].end_disturbance(index);
     }
 
-    async fn cut(&self, vm: usize, mode: Mode, time: Duration) {
-        let (place, since) = (self.vms[vm].disturb(), Instant::now());
-        self.proxies[vm].set(mode);
+    async fn disturb_proxy(&self, vm: usize, mode: Mode, time: Duration) {
+        let (index, since) = (self.vms[vm].begin_disturbance(), Instant::now());
+        self.proxies[vm].set_mode(mode);
         tokio::time::sleep(time).await;
-        self.proxies[vm].set(Mode::Pass);
-        self.vms[vm].upset(since);
-        self.vms[vm].calm(place);
+        self.proxies[vm].set_mode(Mode::Pass);
+        self.vms[vm].record_daemon_fault(since);
+        self.vms[vm].end_disturbance(index);
     }
 
-    async fn trouble(&self, trouble: Trouble, time: Duration) {
-        self.store_spans.lock().push((Instant::now(), None));
+    async fn disturb_store(&self, trouble: Trouble, time: Duration) {
+        self.store_faults.lock().push((Instant::now(), None));
         self.store.set(trouble);
         tokio::time::sleep(time).await;
         self.store.set(Trouble::None);
-        if let Some(span) = self.store_spans.lock().last_mut() {
+        if let Some(span) = self.store_faults.lock().last_mut() {
             span.1 = Some(Instant::now());
         }
     }
 
     async fn crash(&self, vm: usize, same_id: bool, time: Duration) {
-        let place = self.vms[vm].disturb();
+        let index = self.vms[vm].begin_disturbance();
         let mut backend = self.backends[vm].lock().await;
         backend.crash();
         tokio::time::sleep(time).await;
         self.restart(vm, &mut backend, same_id).await;
-        self.vms[vm].calm(place);
+        self.vms[vm].end_disturbance(index);
     }
 
     /// Starts the server of a VM again whenever a request has crashed it.
-    pub(crate) async fn keep_up(&self, vm: usize) {
+    pub(crate) async fn restart_crashed(&self, vm: usize) {
         loop {
-            let crashes = self.backends[vm].lock().await.crashes();
-            crashes.await;
-            let place = self.vms[vm].disturb();
-            tokio::time::sleep(CRASHED).await;
+            let crash = self.backends[vm].lock().await.wait_for_crash();
+            crash.await;
+            let index = self.vms[vm].begin_disturbance();
+            tokio::time::sleep(CRASH_DOWNTIME).await;
             let mut backend = self.backends[vm].lock().await;
             if backend.is_down() {
                 self.restart(vm, &mut backend, false).await;
             }
-            self.vms[vm].calm(place);
+            self.vms[vm].end_disturbance(index);
         }
     }
 
     /// Lets a server be in need, whatever else happens to its VM.
-    async fn need(&self, vm: usize, time: Duration) {
-        let rate = LIMITS[time.as_millis() as usize % LIMITS.len()];
-        let began = self.backends[vm].lock().await.limit(rate);
+    async fn limit_rate(&self, vm: usize, time: Duration) {
+        let rate = SERVER_RATES[time.as_millis() as usize % SERVER_RATES.len()];
+        let began = self.backends[vm].lock().await.begin_limit(rate);
         if began {
-            tokio::time::sleep(NEED + time).await;
-            self.backends[vm].lock().await.recover();
+            tokio::time::sleep(MIN_LIMIT_TIME + time).await;
+            self.backends[vm].lock().await.end_limit();
         }
     }
 
-    async fn slip(&self, vm: usize) {
+    async fn leave_by_answers(&self, vm: usize) {
         let mut backend = self.backends[vm].lock().await;
-        backend.say_leaving();
-        tokio::time::sleep(LEAVING * 2).await;
-        let place = self.vms[vm].disturb();
+        backend.signal_leaving();
+        tokio::time::sleep(LEAVE_TIME * 2).await;
+        let index = self.vms[vm].begin_disturbance();
         backend.crash();
         self.restart(vm, &mut backend, false).await;
-        self.vms[vm].calm(place);
+        self.vms[vm].end_disturbance(index);
     }
 
     async fn replace(&self, vm: usize) {
         let mut backend = self.backends[vm].lock().await;
-        if backend.leave(LEAVING).await {
-            tokio::time::sleep(LEAVING).await;
+        if backend.announce_leaving(LEAVE_TIME).await {
+            tokio::time::sleep(LEAVE_TIME).await;
         }
-        let left = backend.left();
+        let left = backend.leave_ack();
         // From here on connections to the former server are closed.
-        let place = self.vms[vm].disturb();
+        let index = self.vms[vm].begin_disturbance();
         backend.crash();
         if let Some(left) = left {
-            self.leaving.lock().push((vm, left, Instant::now()));
+            self.departures.lock().push((vm, left, Instant::now()));
         }
         self.restart(vm, &mut backend, false).await;
-        self.vms[vm].calm(place);
+        self.vms[vm].end_disturbance(index);
     }
 
     async fn restart(&self, vm: usize, backend: &mut Backend, same_id: bool) {
         if let Err(e) = backend.start(same_id).await {
-            self.broken
+            self.failures
                 .lock()
                 .push(format!("server {vm} does not start: {e}"));
         }
@@ -274,11 +276,11 @@
 }
 
 /// Injects faults until `end`, one VM having one at a time.
-pub(crate) async fn play(world: &Arc<World>, seed: u64, end: Instant) {
+pub(crate) async fn inject_faults(world: &Arc<World>, seed: u64, end: Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let busy = Arc::new(Mutex::new(vec![false; world.vms.len()]));
     let store_busy = Arc::new(tokio::sync::Mutex::new(()));
-    let mut under_way = JoinSet::new();
+    let mut running_faults = JoinSet::new();
     while Instant::now() < end {
         let fault = *FAULTS.choose(&mut rng).unwrap_or(&Fault::HangUp);
         let vm = rng.random_range(0..world.vms.len());
@@ -287,7 +289,7 @@
         let shared = matches!(fault, Fault::Store(_) | Fault::Configure { .. });
         if fault == Fault::Need {
             let world = Arc::clone(world);
-            under_way.spawn(async move { world.inject(vm, fault, time).await });
+            running_faults.spawn(async move { world.inject(vm, fault, time).await });
             tokio::time::sleep(pause).await;
             continue;
         }
@@ -297,17 +299,17 @@
             Arc::clone(&store_busy),
         );
         if shared {
-            under_way.spawn(async move {
+            running_faults.spawn(async move {
                 let _alone = store_busy.lock().await;
                 world.inject(vm, fault, time).await;
             });
         } else if !std::mem::replace(&mut busy.lock()[vm], true) {
-            under_way.spawn(async move {
+            running_faults.spawn(async move {
                 world.inject(vm, fault, time).await;
                 busy.lock()[vm] = false;
             });
         }
         tokio::time::sleep(pause).await;
     }
-    while under_way.join_next().await.is_some() {}
+    while running_faults.join_next().await.is_some() {}
 }
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -10,6 +10,7 @@
 mod check;
 mod estate;
 mod faults;
+mod notices;
 mod pipeliner;
 mod proxy;
 mod record;
@@ -17,7 +18,6 @@
 #[path = "../../tests/support/rows.rs"]
 mod rows;
 mod vm;
-mod words;
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -35,9 +35,9 @@
 
 use backend::Backend;
 use caller::Caller;
-use check::{Broken, ends, judge, served};
-use estate::{Addresses, CENTRES, PER_CENTRE};
-use faults::{World, play};
+use check::{Violation, check_promises, count_outcomes, count_served};
+use estate::{Addresses, CENTRE_COUNT, VMS_PER_CENTRE};
+use faults::{World, inject_faults};
 use pipeliner::pipeline;
 use proxy::Proxy;
 use record::Record;
@@ -45,15 +45,15 @@
 use vm::Vm;
 
 /// Callers beside each VM.
-const CALLERS: usize = 4;
+const CALLERS_PER_VM: usize = 4;
 /// Until the daemons know each other, and after the last fault.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// The time after the settling in which nearly all must be served.
-const JUDGED: Duration = Duration::from_secs(2);
+const RECOVERY_WINDOW: Duration = Duration::from_secs(2);
 /// Least share that is served then.
-const SERVED: f64 = 0.9;
+const MIN_SERVED_SHARE: f64 = 0.9;
 /// Broken promises that are printed whole.
-const SHOWN: usize = 10;
+const MAX_PRINTED: usize = 10;
 
 /// Runs real daemons under random faults and checks what is promised.
 #[derive(FromArgs)]
@@ -79,14 +79,14 @@
 }
 
 /// Returns the program that is built beside this one.
-fn built() -> eyre::Result<PathBuf> {
+fn default_daemon_path() -> eyre::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let dir = own.ancestors().nth(2).unwrap_or(Path::new("."));
     Ok(dir.join("bramleymountd"))
 }
 
-async fn world(args: &Args, dir: &Path, record: &Arc<Record>) -> eyre::Result<World> {
-    let binary = args.daemon.clone().map_or_else(built, Ok)?;
+async fn start_world(args: &Args, dir: &Path, record: &Arc<Record>) -> eyre::Result<World> {
+    let binary = args.daemon.clone().map_or_else(default_daemon_path, Ok)?;
     let address = free_address_on(Ipv4Addr::LOCALHOST.into())?;
     let (store, listening) = RowsStandIn::start(address).await;
     // It answers as long as the process lives.
@@ -97,14 +97,14 @@
         backends: Vec::new(),
         store,
         versions: Mutex::default(),
-        store_spans: Mutex::default(),
-        leaving: Mutex::default(),
-        steps: Mutex::default(),
-        broken: Mutex::default(),
+        store_faults: Mutex::default(),
+        departures: Mutex::default(),
+        fault_log: Mutex::default(),
+        failures: Mutex::default(),
     };
-    world.configure();
-    for vm in 0..CENTRES * PER_CENTRE {
-        let addresses = Addresses::of(vm)?;
+    world.publish_version();
+    for vm in 0..CENTRE_COUNT * VMS_PER_CENTRE {
+        let addresses = Addresses::allocate(vm)?;
         world
             .proxies
             .push(Proxy::start(addresses.proxy, addresses.peers).await?);
@@ -125,54 +125,56 @@
     std::fs::create_dir_all(&dir)?;
     let record = Arc::new(Record::default());
     let start = Instant::now();
-    let world = Arc::new(world(args, &dir, &record).await?);
+    let world = Arc::new(start_world(args, &dir, &record).await?);
     let (stop, stopped) = watch::channel(false);
     let mut callers = JoinSet::new();
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     for (vm, daemon) in world.vms.iter().enumerate() {
-        for place in 0..CALLERS {
+        for index in 0..CALLERS_PER_VM {
             let record = Arc::clone(&record);
-            let caller = Caller::new(vm, place, args.seed, &daemon.addresses, record);
+            let caller = Caller::new(vm, index, args.seed, &daemon.addresses, record);
             callers.spawn(caller.run(stopped.clone()));
         }
-        let place = (vm, daemon.addresses.callers);
-        callers.spawn(pipeline(place, Arc::clone(&record), stopped.clone()));
+        let target = (vm, daemon.addresses.callers);
+        callers.spawn(pipeline(target, Arc::clone(&record), stopped.clone()));
     }
     let end = Instant::now() + Duration::from_secs_f64(args.minutes * 60.0);
-    let mut keepers = JoinSet::new();
+    let mut restarters = JoinSet::new();
     for vm in 0..world.vms.len() {
         let (world, record) = (Arc::clone(&world), Arc::clone(&record));
         let addresses = world.vms[vm].addresses;
-        let insists = Caller::new(vm, CALLERS, args.seed, &addresses, record);
-        callers.spawn(insists.insist(stopped.clone(), end));
-        keepers.spawn(async move { world.keep_up(vm).await });
+        let deadly_caller = Caller::new(vm, CALLERS_PER_VM, args.seed, &addresses, record);
+        callers.spawn(deadly_caller.repeat_deadly_request(stopped.clone(), end));
+        restarters.spawn(async move { world.restart_crashed(vm).await });
     }
-    play(&world, args.seed, end).await;
-    tokio::time::sleep(SETTLE).await;
-    let calm = Instant::now();
-    tokio::time::sleep(JUDGED).await;
+    inject_faults(&world, args.seed, end).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let recovery_start = Instant::now();
+    tokio::time::sleep(RECOVERY_WINDOW).await;
     stop.send_replace(true);
     while callers.join_next().await.is_some() {}
-    let mut broken = judge(&world, &record);
-    let (good, all) = served(&record, calm, calm + JUDGED);
-    if bad_end(good, all) {
-        broken.push(Broken {
+    let mut violations = check_promises(&world, &record);
+    let (good, all) = count_served(&record, recovery_start, recovery_start + RECOVERY_WINDOW);
+    if is_recovery_failed(good, all) {
+        violations.push(Violation {
             rule: "RECOVER",
             id: String::new(),
-            at: calm,
-            what: format!("{good} of {all} are served after the last fault"),
+            at: recovery_start,
+            detail: format!("{good} of {all} are served after the last fault"),
         });
     }
-    let down = world.vms.iter().filter(|vm| !vm.runs()).count();
-    report(args, &world, &record, start, &broken);
-    if bad_end(good, all) {
-        for (end, count) in ends(&record, calm, calm + JUDGED) {
+    let down = world.vms.iter().filter(|vm| !vm.is_running()).count();
+    report(args, &world, &record, start, &violations);
+    if is_recovery_failed(good, all) {
+        for (end, count) in
+            count_outcomes(&record, recovery_start, recovery_start + RECOVERY_WINDOW)
+        {
             println!("  {count} {end}");
         }
     }
     println!("{good} of {all} served after the last fault, {down} daemons down");
-    let bad = !broken.is_empty() || !world.broken.lock().is_empty() || down > 0;
-    if bad {
+    let failed = !violations.is_empty() || !world.failures.lock().is_empty() || down > 0;
+    if failed {
         println!("logs: {}", dir.display());
         return Ok(ExitCode::FAILURE);
     }
@@ -180,61 +182,61 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn bad_end(good: usize, all: usize) -> bool {
-    (good as f64) < all as f64 * SERVED
+fn is_recovery_failed(good: usize, all: usize) -> bool {
+    (good as f64) < all as f64 * MIN_SERVED_SHARE
 }
 
 /// Prints what was done and what broke.
-fn report(args: &Args, world: &World, record: &Record, start: Instant, broken: &[Broken]) {
-    let (good, all) = served(record, start, Instant::now());
-    let steps = world.steps.lock();
+fn report(args: &Args, world: &World, record: &Record, start: Instant, violations: &[Violation]) {
+    let (good, all) = count_served(record, start, Instant::now());
+    let fault_log = world.fault_log.lock();
     println!(
         "seed {}: {} faults, {good} of {all} requests served, {} promises broken",
         args.seed,
-        steps.len(),
-        broken.len() + world.broken.lock().len()
+        fault_log.len(),
+        violations.len() + world.failures.lock().len()
     );
     let since = |at: Instant| at.saturating_duration_since(start).as_secs_f64();
-    for what in world.broken.lock().iter() {
+    for what in world.failures.lock().iter() {
         println!("BROKEN {what}");
     }
     let mut rules: BTreeMap<&str, usize> = BTreeMap::new();
-    for one in broken {
-        *rules.entry(one.rule).or_default() += 1;
+    for violation in violations {
+        *rules.entry(violation.rule).or_default() += 1;
     }
     for (rule, count) in rules {
         println!("{count} of {rule}");
     }
-    for one in broken.iter().take(SHOWN) {
+    for violation in violations.iter().take(MAX_PRINTED) {
         println!(
             "BROKEN {} {} at {:.2}: {}",
-            one.rule,
-            one.id,
-            since(one.at),
-            one.what
+            violation.rule,
+            violation.id,
+            since(violation.at),
+            violation.detail
         );
-        if let Some(sent) = record.sent.lock().get(&one.id) {
+        if let Some(request) = record.requests.lock().get(&violation.id) {
             println!(
                 "  vm {} {} ended {:?}",
-                sent.vm,
-                sent.path,
-                sent.end.as_ref().map(|(at, end)| (since(*at), end))
+                request.vm,
+                request.path,
+                request.outcome.as_ref().map(|(at, end)| (since(*at), end))
             );
-            for run in &sent.runs {
+            for run in &request.runs {
                 println!(
                     "  ran at vm {} at {:.2}, ended {:?}, rejected {}",
                     run.vm,
                     since(run.at),
-                    run.ended.map(since),
+                    run.end_time.map(since),
                     run.rejected
                 );
             }
         }
-        let near = steps
+        let near = fault_log
             .iter()
-            .filter(|(at, _)| (since(*at) - since(one.at)).abs() < 5.0);
-        for (at, step) in near {
-            println!("  step at {:.2}: {step}", since(*at));
+            .filter(|(at, _)| (since(*at) - since(violation.at)).abs() < 5.0);
+        for (at, fault) in near {
+            println!("  step at {:.2}: {fault}", since(*at));
         }
     }
 }
--- a/examples/soak/proxy.rs
+++ b/examples/soak/proxy.rs
@@ -35,7 +35,7 @@
 impl Proxy {
     pub(crate) async fn start(address: SocketAddr, target: SocketAddr) -> eyre::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let (resets, told) = watch::channel(0);
+        let (resets, reset_signal) = watch::channel(0);
         let proxy = Self {
             mode: Arc::default(),
             resets,
@@ -44,14 +44,19 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 if *mode.lock() != Mode::Reset {
-                    tokio::spawn(pass(stream, target, Arc::clone(&mode), told.clone()));
+                    tokio::spawn(forward(
+                        stream,
+                        target,
+                        Arc::clone(&mode),
+                        reset_signal.clone(),
+                    ));
                 }
             }
         });
         Ok(proxy)
     }
 
-    pub(crate) fn set(&self, mode: Mode) {
+    pub(crate) fn set_mode(&self, mode: Mode) {
         *self.mode.lock() = mode;
         if mode == Mode::Reset {
             self.resets.send_modify(|count| *count += 1);
@@ -59,7 +64,7 @@
     }
 }
 
-async fn pass(
+async fn forward(
     inner: TcpStream,
     target: SocketAddr,
     mode: Arc<Mutex<Mode>>,
--- a/examples/soak/record.rs
+++ b/examples/soak/record.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::words::{RunKey, Words};
+use crate::notices::{Notices, RunKey};
 
 /// One run of a request at a backend server.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     pub(crate) origin: String,
     pub(crate) at: Instant,
     /// When the work ended, by itself or since the connection closed.
-    pub(crate) ended: Option<Instant>,
+    pub(crate) end_time: Option<Instant>,
     /// Whether the backend server said that it has not run the request.
     pub(crate) rejected: bool,
     /// Whether method, path and body were those that were sent.
@@ -28,7 +28,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     /// An answer came: its status, whether it bears a server's signature, and
     /// whether it is whole and belongs to the request.
     Answered {
@@ -46,73 +46,75 @@
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct RequestRecord {
     /// The VM of the caller.
     pub(crate) vm: usize,
     pub(crate) path: &'static str,
     /// The number of the request, if it is deadly.
     pub(crate) deadly: Option<u64>,
     pub(crate) at: Instant,
-    pub(crate) end: Option<(Instant, End)>,
+    pub(crate) outcome: Option<(Instant, Outcome)>,
     pub(crate) runs: Vec<Run>,
 }
 
 /// All requests by id.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
-    pub(crate) sent: Mutex<HashMap<String, Sent>>,
+    pub(crate) requests: Mutex<HashMap<String, RequestRecord>>,
     /// The crashes of servers under deadly requests, by the request's number.
     pub(crate) crashes: Mutex<Vec<(u64, Instant)>>,
     /// Ids of requests that were not deadly, and were held like one.
-    pub(crate) held: Mutex<Vec<String>>,
+    pub(crate) held_ids: Mutex<Vec<String>>,
     /// Runs of requests that nobody sent.
-    pub(crate) unasked: Mutex<Vec<String>>,
+    pub(crate) unknown_ids: Mutex<Vec<String>>,
     /// What servers said of themselves.
-    pub(crate) words: Words,
+    pub(crate) notices: Notices,
 }
 
 impl Record {
-    pub(crate) fn sent(&self, id: &str, vm: usize, path: &'static str, deadly: Option<u64>) {
-        let sent = Sent {
+    pub(crate) fn record_sent(&self, id: &str, vm: usize, path: &'static str, deadly: Option<u64>) {
+        let request = RequestRecord {
             vm,
             path,
             deadly,
             at: Instant::now(),
-            end: None,
+            outcome: None,
             runs: Vec::new(),
         };
-        self.sent.lock().insert(id.to_owned(), sent);
+        self.requests.lock().insert(id.to_owned(), request);
     }
 
-    pub(crate) fn ended(&self, id: &str, end: End) {
-        if let Some(sent) = self.sent.lock().get_mut(id) {
-            sent.end = Some((Instant::now(), end));
+    pub(crate) fn record_outcome(&self, id: &str, outcome: Outcome) {
+        if let Some(request) = self.requests.lock().get_mut(id) {
+            request.outcome = Some((Instant::now(), outcome));
         }
     }
 
-    pub(crate) fn crashed(&self, deadly: u64) {
+    pub(crate) fn record_crash(&self, deadly: u64) {
         self.crashes.lock().push((deadly, Instant::now()));
     }
 
     /// Notes a run; returns its place among those of the request.
-    pub(crate) fn ran(&self, id: &str, run: Run) -> usize {
-        match self.sent.lock().get_mut(id) {
-            Some(sent) => {
-                sent.runs.push(run);
-                sent.runs.len() - 1
+    pub(crate) fn record_run(&self, id: &str, run: Run) -> usize {
+        match self.requests.lock().get_mut(id) {
+            Some(request) => {
+                request.runs.push(run);
+                request.runs.len() - 1
             }
             None => {
-                self.unasked.lock().push(id.to_owned());
+                self.unknown_ids.lock().push(id.to_owned());
                 0
             }
         }
     }
 
-    pub(crate) fn run_ended(&self, id: &str, place: usize) {
-        let mut all = self.sent.lock();
-        let run = all.get_mut(id).and_then(|sent| sent.runs.get_mut(place));
+    pub(crate) fn record_run_end(&self, id: &str, index: usize) {
+        let mut all = self.requests.lock();
+        let run = all
+            .get_mut(id)
+            .and_then(|request| request.runs.get_mut(index));
         if let Some(run) = run {
-            run.ended = Some(Instant::now());
+            run.end_time = Some(Instant::now());
         }
     }
 }
--- a/examples/soak/vm.rs
+++ b/examples/soak/vm.rs
@@ -12,7 +12,7 @@
 use crate::estate::Addresses;
 
 /// How long a daemon that was told to stop may take.
-pub(crate) const GRACE: Duration = Duration::from_secs(6);
+pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
 /// A span of time; one that goes on has no end.
 pub(crate) type Span = (Instant, Option<Instant>);
@@ -47,9 +47,9 @@
     log: PathBuf,
     child: Mutex<Option<Child>>,
     /// When it was disturbed without a plan: killed, paused, cut, restarted.
-    pub(crate) disturbed: Mutex<Vec<Span>>,
+    pub(crate) disturbances: Mutex<Vec<Span>>,
     /// When its daemon was killed, paused or cut.
-    pub(crate) upset: Mutex<Vec<Span>>,
+    pub(crate) daemon_faults: Mutex<Vec<Span>>,
     /// When its daemon was told to stop, and when it had.
     pub(crate) stops: Mutex<Vec<Span>>,
 }
@@ -63,15 +63,15 @@
         dir: &Path,
     ) -> eyre::Result<Self> {
         let settings = dir.join(format!("vm-{vm}.yaml"));
-        std::fs::write(&settings, addresses.settings(vm, store))?;
+        std::fs::write(&settings, addresses.settings_yaml(vm, store))?;
         Ok(Self {
             addresses,
             binary: binary.to_owned(),
             settings,
             log: dir.join(format!("vm-{vm}.log")),
             child: Mutex::default(),
-            disturbed: Mutex::default(),
-            upset: Mutex::default(),
+            disturbances: Mutex::default(),
+            daemon_faults: Mutex::default(),
             stops: Mutex::default(),
         })
     }
@@ -104,8 +104,8 @@
     }
 
     /// Waits until the daemon has ended; returns whether it did in time.
-    pub(crate) async fn wait(&self, longest: Duration) -> bool {
-        let end = Instant::now() + longest;
+    pub(crate) async fn wait_for_exit(&self, timeout: Duration) -> bool {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             let ended = match self.child.lock().as_mut() {
                 Some(child) => matches!(child.try_wait(), Ok(Some(_))),
@@ -121,7 +121,7 @@
     }
 
     /// Tells whether the daemon runs.
-    pub(crate) fn runs(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         match self.child.lock().as_mut() {
             Some(child) => matches!(child.try_wait(), Ok(None)),
             None => false,
@@ -129,20 +129,22 @@
     }
 
     /// Notes that a disturbance of the daemon itself lasted from `since` on.
-    pub(crate) fn upset(&self, since: Instant) {
-        self.upset.lock().push((since, Some(Instant::now())));
+    pub(crate) fn record_daemon_fault(&self, since: Instant) {
+        self.daemon_faults
+            .lock()
+            .push((since, Some(Instant::now())));
     }
 
     /// Notes that a disturbance begins; returns its place.
-    pub(crate) fn disturb(&self) -> usize {
-        let mut disturbed = self.disturbed.lock();
-        disturbed.push((Instant::now(), None));
-        disturbed.len() - 1
+    pub(crate) fn begin_disturbance(&self) -> usize {
+        let mut disturbances = self.disturbances.lock();
+        disturbances.push((Instant::now(), None));
+        disturbances.len() - 1
     }
 
     /// Notes that a disturbance has ended.
-    pub(crate) fn calm(&self, place: usize) {
-        if let Some(span) = self.disturbed.lock().get_mut(place) {
+    pub(crate) fn end_disturbance(&self, index: usize) {
+        if let Some(span) = self.disturbances.lock().get_mut(index) {
             span.1 = Some(Instant::now());
         }
     }
@@ -158,7 +160,7 @@
 }
 
 /// Tells whether any span touches the time from `from` to `to`.
-pub(crate) fn touches(spans: &[Span], from: Instant, to: Instant) -> bool {
+pub(crate) fn overlaps_any(spans: &[Span], from: Instant, to: Instant) -> bool {
     let mut spans = spans.iter();
     spans.any(|(begin, end)| *begin <= to && end.is_none_or(|end| end >= from))
 }
