--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -21,7 +21,7 @@
 /// Fails if the address cannot be bound.
 pub async fn serve_callers(entry: Arc<Entry>) -> Result<HttpListener, Error> {
     let config = &entry.context.shared.config;
-    let (address, ahead) = (config.listen.callers, config.ahead);
+    let (address, ahead) = (config.listen.callers, config.max_pipelined);
     listen_pipelined(address, ahead, CallerService(entry)).await
 }
 
--- a/src/task/ownership.rs
+++ b/src/task/ownership.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::Instant;
 
-use crate::declare::Once;
+use crate::declare::OnceSettings;
 use crate::model::{Instance, ServiceName};
 use crate::policy::member::Budget;
 use crate::policy::once::{Horizon, OwnershipRow, plan_ownership};
-use crate::store::{Condition, Settled, settle};
+use crate::store::{Condition, WriteOutcome, write_with_retry};
 use crate::tables::{Shared, StoredOwnership, mint_now};
 
 /// How often the row is checked.
@@ -52,7 +52,7 @@
     }
 }
 
-fn once_rules(shared: &Shared) -> Option<Once> {
+fn once_rules(shared: &Shared) -> Option<OnceSettings> {
     let in_force = shared.current.get()?;
     let estate = &in_force.estate;
     let service = estate.services.get(&shared.config.service)?;
@@ -69,11 +69,11 @@
 fn next_row(
     known: Option<&StoredOwnership>,
     live: &[Instance],
-    once: Once,
+    once: OnceSettings,
 ) -> Option<OwnershipRow> {
     let horizon = Horizon {
         ahead: once.horizon.get(),
-        retention: once.memory.get(),
+        retention: once.retention.get(),
     };
     let empty = OwnershipRow::default();
     let row = known.map_or(&empty, |stored| &*stored.row);
@@ -86,7 +86,7 @@
 }
 
 /// Writes the next state of the row; `None` if the platform doesn't answer.
-async fn extend(shared: &Shared, live: &[Instance], once: Once) -> Option<()> {
+async fn extend(shared: &Shared, live: &[Instance], once: OnceSettings) -> Option<()> {
     let service = &shared.config.service;
     let known = shared.ownership.get(service);
     let Some(row) = next_row(known.as_ref(), live, once) else {
@@ -98,20 +98,20 @@
     };
     let content = row.encode().into();
     let table = shared.platform.as_ref();
-    match settle(table, &row_key(service), condition, content).await {
-        Settled::Written(revision) => {
+    match write_with_retry(table, &row_key(service), condition, content).await {
+        WriteOutcome::Written(revision) => {
             shared.ownership.update(service, revision, row);
             shared.notify_gossip();
             Some(())
         }
-        Settled::Lost(Some(found)) => {
+        WriteOutcome::Conflict(Some(found)) => {
             if let Ok(row) = OwnershipRow::decode(&found.content) {
                 shared.ownership.update(service, found.revision, row);
             }
             Some(())
         }
-        Settled::Lost(None) => Some(()),
-        Settled::NotSent(_) | Settled::Unsettled(_) => None,
+        WriteOutcome::Conflict(None) => Some(()),
+        WriteOutcome::NotSent(_) | WriteOutcome::Unknown(_) => None,
     }
 }
 
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -10,11 +10,12 @@
 use bramleymount::emulator::free_address;
 use bramleymount::platform::RowStore;
 use bramleymount::store::{
-    Condition, Feed, FeedError, ObjectStore, Revision, Settled, TableStore, WriteError, settle,
+    Condition, Feed, FeedError, ObjectStore, Revision, TableStore, WriteError, WriteOutcome,
+    write_with_retry,
 };
 use bramleymount::web::HttpListener;
 use rstest::rstest;
-use support::rows::{RowsStandIn, Trouble};
+use support::rows::{RowsFault, RowsStandIn};
 
 /// Short, so that answers which never come are noticed soon.
 const TIMEOUT: Duration = Duration::from_millis(300);
@@ -83,7 +84,7 @@
     let row = changes.changes[0].row.as_ref().expect("a row");
     assert_eq!((&*row.key, &*row.content), ("op/config", &b"two"[..]));
     let none = store
-        .changes("op", changes.at, Duration::from_millis(10))
+        .changes("op", changes.revision, Duration::from_millis(10))
         .await;
     assert!(none.expect("changes").changes.is_empty());
 }
@@ -101,19 +102,19 @@
 #[tokio::test]
 async fn changes_say_that_history_is_forgotten() {
     let (store, rows, _listening) = store().await;
-    rows.set(Trouble::Forgetful);
+    rows.set_fault(RowsFault::HistoryExpired);
     let changes = store.changes("op", Revision(1), TIMEOUT).await;
-    assert_eq!(changes, Err(FeedError::Forgotten));
+    assert_eq!(changes, Err(FeedError::HistoryExpired));
 }
 
 #[rstest]
-#[case::busy(Trouble::Busy, false)]
-#[case::silent(Trouble::Silent, true)]
-#[case::lost(Trouble::LoseAnswers, true)]
+#[case::busy(RowsFault::Busy, false)]
+#[case::silent(RowsFault::Silent, true)]
+#[case::lost(RowsFault::LoseAnswers, true)]
 #[tokio::test]
-async fn write_tells_what_may_have_happened(#[case] trouble: Trouble, #[case] unknown: bool) {
+async fn write_tells_what_may_have_happened(#[case] trouble: RowsFault, #[case] unknown: bool) {
     let (store, rows, _listening) = store().await;
-    rows.set(trouble);
+    rows.set_fault(trouble);
     match store.write("t/a", Condition::Absent, "x".into()).await {
         Err(WriteError::Unknown(_)) => assert!(unknown),
         Err(WriteError::NotSent(_)) => assert!(!unknown),
@@ -124,14 +125,14 @@
 #[tokio::test]
 async fn settle_finds_a_write_whose_answer_was_lost() {
     let (store, rows, _listening) = store().await;
-    rows.set(Trouble::LoseAnswers);
+    rows.set_fault(RowsFault::LoseAnswers);
     let healed = async {
         tokio::time::sleep(TIMEOUT / 2).await;
-        rows.set(Trouble::None);
+        rows.set_fault(RowsFault::None);
     };
-    let settled = settle(&store, "t/a", Condition::Absent, "x".into());
+    let settled = write_with_retry(&store, "t/a", Condition::Absent, "x".into());
     let (settled, ()) = tokio::join!(settled, healed);
-    assert!(matches!(settled, Settled::Written(_)), "{settled:?}");
+    assert!(matches!(settled, WriteOutcome::Written(_)), "{settled:?}");
 }
 
 #[tokio::test]
