--- a/src/platform/announcement.rs
+++ b/src/platform/announcement.rs
@@ -1,4 +1,4 @@
-//! Announcements of the backend server in the platform's words.
+//! Receives the announcements of the own backend server in the platform's format.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,51 +15,51 @@
 use crate::policy::member::{Announcement, AnnouncementEffect, Intent};
 use crate::web::{CallerAnswer, Listening, caller_text, listen};
 
-/// What the paths of announcements begin with; the server's id follows.
-const PATH: &str = "/instances/";
-/// Largest announcement, in bytes; they have about 200.
+/// Path prefix of announcements; the server's id follows.
+const PATH_PREFIX: &str = "/instances/";
+/// Largest body in bytes; announcements have about 200.
 const MAX_BODY: usize = 16 * 1024;
-/// The body of an acknowledgement.
-const ACKNOWLEDGED: &str = "{}";
+/// Body of the answer to an accepted request.
+const ACKNOWLEDGEMENT: &str = "{}";
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 
 #[derive(Debug, Deserialize)]
-struct Beat {
+struct AnnouncementBody {
     /// The service of the server.
     upstream: ServiceName,
     slots: u32,
-    state: BeatState,
-    /// How much longer the server is slow after its start, in seconds.
+    state: ServerState,
+    /// Remaining time of the slow phase after a start, in seconds.
     #[serde(rename = "coldLeftS", default)]
     cold_left: f64,
     sequence: u64,
-    /// The start of this run, in Unix milliseconds; older servers do not tell.
+    /// The start of this run, in Unix milliseconds; older servers leave it out.
     #[serde(default)]
     born: Option<u64>,
 }
 
-/// What a goodbye may carry; most have no body.
+/// Optional body of a DELETE; most servers send none.
 #[derive(Debug, Deserialize)]
-struct Goodbye {
+struct DepartureBody {
     born: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum BeatState {
+enum ServerState {
     Ready,
     Draining,
 }
 
-impl Beat {
-    fn announcement(&self, server: ServerId) -> Announcement {
+impl AnnouncementBody {
+    fn to_announcement(&self, server: ServerId) -> Announcement {
         Announcement {
             server,
             start: self.born.map(ServerStart::from_millis),
             intent: match self.state {
-                BeatState::Ready => Intent::Serve,
-                BeatState::Draining => Intent::Leave,
+                ServerState::Ready => Intent::Serve,
+                ServerState::Draining => Intent::Leave,
             },
             slots: Slots::new(self.slots.max(1)),
             cold: self.cold_left > 0.0,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Takes the announcements of the own backend server.
+/// Serves the endpoint to which the own backend server announces itself.
 ///
 /// # Errors
 ///
@@ -86,79 +86,85 @@
 
 async fn handle(guard: &Guard, request: Request<Incoming>) -> CallerAnswer {
     let (head, body) = request.into_parts();
-    let id = head.uri.path().strip_prefix(PATH);
+    let id = head.uri.path().strip_prefix(PATH_PREFIX);
     let Some(Ok(server)) = id.map(str::parse::<ServerId>) else {
         return caller_text(StatusCode::NOT_FOUND, TEXT, "no such resource\n");
     };
     match head.method {
-        Method::PUT => match read(body, &server).await {
-            Ok((service, news)) => announce(guard, &service, &news),
-            Err(cause) => refused(&server, &cause),
+        Method::PUT => match read_body(body, &server).await {
+            Ok((service, announcement)) => receive(guard, &service, &announcement),
+            Err(cause) => reject(&server, &cause),
         },
         Method::DELETE => {
-            guard.record_departure(&server, goodbye(body).await);
-            spdlog::info!("backend server says goodbye", kv: { server = server.as_str() });
-            acknowledged()
+            guard.record_departure(&server, read_departure(body).await);
+            spdlog::info!("backend server departed", kv: { server = server.as_str() });
+            acknowledge()
         }
         _ => caller_text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "PUT or DELETE\n"),
     }
 }
 
-async fn read(body: Incoming, server: &ServerId) -> Result<(ServiceName, Announcement), Box<str>> {
-    read_announcement(&collect(body).await?, server)
+async fn read_body(
+    body: Incoming,
+    server: &ServerId,
+) -> Result<(ServiceName, Announcement), Box<str>> {
+    read_announcement(&collect_body(body).await?, server)
 }
 
-/// Reads an announcement of a server and of which service it is.
+/// Parses the announcement of a server and the name of its service.
 ///
 /// # Errors
 ///
-/// Fails if a field is missing, of another type or not known, as where another
-/// writer made it; it names no server to use then.
+/// Fails if a field is missing, has another type or holds an unknown value, as in
+/// an announcement of another writer. Such a body makes no server available.
 pub fn read_announcement(
     body: &[u8],
     server: &ServerId,
 ) -> Result<(ServiceName, Announcement), Box<str>> {
-    let beat: Beat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let news = beat.announcement(server.clone());
-    Ok((beat.upstream, news))
+    let body: AnnouncementBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+    let announcement = body.to_announcement(server.clone());
+    Ok((body.upstream, announcement))
 }
 
-/// Returns which run says goodbye, if its server tells.
-async fn goodbye(body: Incoming) -> Option<ServerStart> {
-    let body = collect(body).await.ok()?;
-    let goodbye: Goodbye = serde_json::from_slice(&body).ok()?;
-    Some(ServerStart::from_millis(goodbye.born))
+/// Returns the run that departs, if the server names it.
+async fn read_departure(body: Incoming) -> Option<ServerStart> {
+    let body = collect_body(body).await.ok()?;
+    let departure: DepartureBody = serde_json::from_slice(&body).ok()?;
+    Some(ServerStart::from_millis(departure.born))
 }
 
-async fn collect(body: Incoming) -> Result<Bytes, Box<str>> {
+async fn collect_body(body: Incoming) -> Result<Bytes, Box<str>> {
     let body = Limited::new(body, MAX_BODY).collect().await;
     Ok(body.map_err(|e| e.to_string())?.to_bytes())
 }
 
-fn announce(guard: &Guard, service: &ServiceName, news: &Announcement) -> CallerAnswer {
-    let server = &news.server;
+fn receive(guard: &Guard, service: &ServiceName, announcement: &Announcement) -> CallerAnswer {
+    let server = &announcement.server;
     if service != guard.service() {
-        return refused(server, "it is of another service than this VM's");
+        return reject(
+            server,
+            "the server belongs to another service than this VM's",
+        );
     }
-    let change = guard.receive_announcement(news);
-    let told = match change {
-        AnnouncementEffect::Renewed => return acknowledged(),
+    let effect = guard.receive_announcement(announcement);
+    let text = match effect {
+        AnnouncementEffect::Renewed => return acknowledge(),
         AnnouncementEffect::Arrived => "arrived",
         AnnouncementEffect::Resumed => "stays",
         AnnouncementEffect::Leaving => "leaving",
         AnnouncementEffect::Stale => "old news",
     };
     spdlog::info!("backend server announced", kv: {
-        server = server.as_str(), change = told, sequence = news.sequence
+        server = server.as_str(), change = text, sequence = announcement.sequence
     });
-    acknowledged()
+    acknowledge()
 }
 
-fn acknowledged() -> CallerAnswer {
-    caller_text(StatusCode::OK, JSON, ACKNOWLEDGED)
+fn acknowledge() -> CallerAnswer {
+    caller_text(StatusCode::OK, JSON, ACKNOWLEDGEMENT)
 }
 
-fn refused(server: &ServerId, cause: &str) -> CallerAnswer {
-    spdlog::warn!("announcement not understood", kv: { server = server.as_str(), cause });
+fn reject(server: &ServerId, cause: &str) -> CallerAnswer {
+    spdlog::warn!("announcement rejected", kv: { server = server.as_str(), cause });
     caller_text(StatusCode::BAD_REQUEST, TEXT, format!("{cause}\n"))
 }
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's document, followed by the store's feed.
+//! Follows the operator's document through the store's feed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,27 +17,27 @@
 use crate::task::{FollowedRow, follow_row};
 
 /// The row that holds the operator's document.
-const ROW: &str = "op/config";
-/// Its table, whose changes are followed.
-const TABLE: &str = "op";
+const CONFIGURATION_ROW: &str = "op/config";
+/// The table whose changes are followed.
+const CONFIGURATION_TABLE: &str = "op";
 
-/// Who is named as the author of versions that come from the row.
+/// The author recorded for versions that come from the row.
 const AUTHOR: &str = "operator";
 
-/// How long one question for changes may stay open. Each daemon asks once in
-/// this time, so that 5,300 of them make 530 calls a second.
-const WAIT: Duration = Duration::from_secs(10);
+/// How long one request for changes may stay open. Each daemon sends one in this
+/// time, so that 5,300 daemons make 530 calls per second.
+const FEED_WAIT: Duration = Duration::from_secs(10);
 
-/// Puts each version of the operator's document in force, for ever.
+/// Applies each version of the operator's document; never returns.
 pub async fn watch_configuration(shared: Arc<Shared>, guard: Arc<Guard>, feed: Arc<dyn Feed>) {
     let followed = FollowedRow {
-        key: ROW,
-        table: TABLE,
-        wait: WAIT,
+        key: CONFIGURATION_ROW,
+        table: CONFIGURATION_TABLE,
+        wait: FEED_WAIT,
     };
-    let asks = || shared.store_role.borrow().uses_store() || reads_first(&shared);
-    follow_row(&*feed, &followed, asks, |row| {
-        if let Err(e) = take(&shared, &guard, row) {
+    let may_query = || shared.store_role.borrow().uses_store() || may_read_first(&shared);
+    follow_row(&*feed, &followed, may_query, |row| {
+        if let Err(e) = apply_row(&shared, &guard, row) {
             spdlog::error!("configuration not understood", kv: {
                 cause = e.to_string().as_str(), revision = row.revision.0
             });
@@ -46,25 +46,25 @@
     .await;
 }
 
-/// Tells whether a daemon that has no configuration yet reads it now, though
-/// others of its data centre use the store.
-fn reads_first(shared: &Shared) -> bool {
+/// Returns whether a daemon without a configuration reads the row now, although
+/// another daemon is the delegate of its data centre.
+fn may_read_first(shared: &Shared) -> bool {
     if shared.current.version() > Version::NONE {
         return false;
     }
     let view = shared.view.lock();
-    let known = view.members().len() > 1;
-    known && rand::rng().random_bool(read_probability(&view))
+    let has_members = view.members().len() > 1;
+    has_members && rand::rng().random_bool(read_probability(&view))
 }
 
-fn take(shared: &Shared, guard: &Guard, row: &Row) -> Result<(), Error> {
-    let operated = read_document(&row.content)?;
-    if shared.current.decide(operated.version) != VersionDecision::Apply {
+fn apply_row(shared: &Shared, guard: &Guard, row: &Row) -> Result<(), Error> {
+    let declared = read_document(&row.content)?;
+    if shared.current.decide(declared.version) != VersionDecision::Apply {
         return Ok(());
     }
-    let documents = split(&operated.estate);
+    let documents = split(&declared.estate);
     let manifest = Manifest {
-        version: operated.version,
+        version: declared.version,
         change: Box::default(),
         author: AUTHOR.into(),
         unix_ms: 0,
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -1,4 +1,4 @@
-//! The operator's document, read into the product's declarations.
+//! Parses the operator's document into the estate's declarations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,33 +11,33 @@
     RouteName, ServiceName, Slots, Version, Weight, WorkspaceName,
 };
 
-/// Slots of a server until it has announced its own.
+/// Slots of a server until it announces a number.
 const UNANNOUNCED_SLOTS: Slots = Slots::new(16);
-/// Retries of a request and all calls made for it. A request of the users
-/// makes up to ten calls at the end of its chain, in two branches at the same
-/// time; where servers refuse 55 in 100 they need twelve retries in the mean.
-/// A quarter stays at each step of the way, so this leaves nine for the branch
-/// that starts second. What all requests use together is bounded elsewhere.
-const RETRIES: Retries = Retries::new(64);
-/// Deadline of a request that matches no route; it is refused anyway.
+/// Retries of a request and all calls made for it. A request makes up to ten calls
+/// at the end of its chain, in two concurrent branches; where servers refuse 55 in
+/// 100, these need twelve retries on average. Each hop keeps a quarter of its
+/// retries, which leaves nine for the branch that starts second. The total over all
+/// requests is bounded elsewhere.
+const REQUEST_RETRIES: Retries = Retries::new(64);
+/// Deadline of a request that matches no route; such a request is refused anyway.
 const NO_ROUTE_DEADLINE: PositiveDuration = PositiveDuration::from_millis(1000);
-/// How keys would be kept; the platform's callers send none.
-const ONCE: Once = Once {
+/// Retention of idempotency keys; unused, since the platform's callers send none.
+const ONCE_SETTINGS: Once = Once {
     horizon: PositiveDuration::from_millis(60_000),
     memory: PositiveDuration::from_millis(24 * 3600 * 1000),
     ledger_bytes: Bytes::new(1024 * 1024),
 };
 
-/// A version of the operator's document.
+/// The estate that one version of the operator's document declares.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedEstate {
-    /// The version.
+    /// The version of the document.
     pub version: Version,
-    /// What it declares.
+    /// The declared estate.
     pub estate: Estate,
 }
 
-/// The document. It has no `Debug`, since it holds keys.
+/// The document as it is written. Without `Debug`, since it holds API keys.
 #[derive(Deserialize)]
 struct Document {
     version: u64,
@@ -57,16 +57,16 @@
     #[serde(rename = "pathPrefix")]
     prefix: Box<str>,
     #[serde(rename = "routeType")]
-    kind: RouteKind,
-    /// Longest time that a caller is kept waiting, in seconds.
+    kind: RouteType,
+    /// Timeout of a request, in seconds.
     #[serde(rename = "timeoutS")]
     timeout: f64,
-    /// The time within which an answer has its full use, in seconds.
+    /// Latency objective, in seconds.
     #[serde(rename = "goalS")]
     objective: f64,
-    /// The rank of the requests; 0 is the most important.
+    /// The priority of the requests; 0 is the highest.
     priority: u32,
-    /// Most servers that one attempt of a caller is sent to.
+    /// Maximum number of servers that are tried for one attempt of a caller.
     attempts: u32,
     /// The only service of the route.
     #[serde(default)]
@@ -74,7 +74,7 @@
     /// The services of the route, if it has several.
     #[serde(default)]
     split: Vec<ShareEntry>,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     #[serde(default)]
     public: bool,
 }
@@ -83,14 +83,14 @@
 struct WorkspaceEntry {
     #[serde(rename = "apiKeys", default)]
     keys: Vec<Box<str>>,
-    /// The rank of its requests, 0 for the most important, which counts before
-    /// that of their route.
+    /// The priority of its requests; 0 is the highest. It outranks that of the
+    /// route.
     #[serde(default)]
     priority: Option<u32>,
-    /// Requests a second over all daemons; any number if 0.
+    /// Requests per second over all daemons; 0 for no limit.
     #[serde(rename = "ratePerS", default)]
     rate: f64,
-    /// Requests at once, on top of the rate.
+    /// Size of a burst above the rate, in requests.
     #[serde(default)]
     burst: f64,
 }
@@ -102,50 +102,50 @@
     weight: f64,
 }
 
-/// What the repetition of a request may do.
+/// The type of a route, which decides whether its requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum RouteKind {
+enum RouteType {
     Idempotent,
     /// Large answers.
     Download,
     NonIdempotent,
     Upload,
-    /// Kinds that are not known here are never repeated.
+    /// An unknown type, whose requests are never repeated.
     #[serde(other)]
     Other,
 }
 
 #[derive(Debug, Deserialize)]
 struct ServiceEntry {
-    /// Connections that one server accepts.
+    /// Maximum number of connections to one server.
     #[serde(rename = "maxConns")]
     connections: u32,
 }
 
-impl RouteKind {
-    /// Tells whether a request may run twice without harm.
+impl RouteType {
+    /// Returns whether a request may safely run twice.
     const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::Download)
     }
 }
 
-/// Parts into which a weight is divided, so that fractions keep their share.
+/// Parts per unit of weight, so that fractional weights keep their share.
 const WEIGHT_PARTS: f64 = 100.0;
 
-/// Reads the operator's document.
+/// Parses the operator's document.
 ///
 /// # Errors
 ///
-/// Fails if the content is no such document.
+/// Fails if the content is not a valid document.
 pub fn read_document(content: &[u8]) -> Result<VersionedEstate, Error> {
-    // The library's message would quote what it found, which may be a key.
+    // The parser's own message would quote the input, which may be an API key.
     let document: Document = serde_json::from_slice(content).map_err(|e| {
         let (kind, line, column) = (e.classify(), e.line(), e.column());
         let message = format!("{kind:?} error at line {line}, column {column}");
         Error::value("operator's document", message)
     })?;
-    let ranks = Ranks::new(&document)?;
+    let ranks = ClassTable::new(&document)?;
     let routes = document
         .routes
         .iter()
@@ -161,56 +161,56 @@
             routes,
             callers: Vec::new(),
             workspaces,
-            once: ONCE,
+            once: ONCE_SETTINGS,
         },
     })
 }
 
-/// The place of requests: first by their workspace, then by their route.
-type Place = (u32, u32);
+/// The priorities of a request: its workspace's, then its route's.
+type PriorityPair = (u32, u32);
 
-/// The classes of a document, one for each pair of priorities that occurs.
-struct Ranks {
-    places: BTreeMap<Place, usize>,
+/// The classes of a document, one per pair of priorities that occurs.
+struct ClassTable {
+    ranks: BTreeMap<PriorityPair, usize>,
     classes: Vec<Class>,
-    /// What counts as the workspace's priority of requests without a key:
-    /// that of the most important one, since servers' own calls are among them.
+    /// Workspace priority of requests without a key: the highest of all, since
+    /// these include the servers' own calls.
     keyless: u32,
 }
 
-impl Ranks {
+impl ClassTable {
     fn new(document: &Document) -> Result<Self, Error> {
         let routes: BTreeSet<u32> = document.routes.values().map(|r| r.priority).collect();
         let entries = document.workspaces.iter().flat_map(BTreeMap::values);
         let workspaces: BTreeSet<u32> = entries.filter_map(|entry| entry.priority).collect();
         let keyless = workspaces.first().copied().unwrap_or_default();
-        let firsts = workspaces
+        let workspaces = workspaces
             .into_iter()
             .chain([keyless])
             .collect::<BTreeSet<u32>>();
-        let pairs = firsts
+        let pairs = workspaces
             .iter()
-            .flat_map(|first| routes.iter().map(|second| (*first, *second)));
-        let pairs: BTreeSet<Place> = pairs.collect();
+            .flat_map(|workspace| routes.iter().map(|route| (*workspace, *route)));
+        let pairs: BTreeSet<PriorityPair> = pairs.collect();
         let count = pairs.len().clamp(1, ClassRank::COUNT);
-        let places = pairs
+        let ranks = pairs
             .into_iter()
             .enumerate()
-            .map(|(place, pair)| (pair, place.min(count - 1)))
+            .map(|(rank, pair)| (pair, rank.min(count - 1)))
             .collect();
         let classes = (0..count)
             .map(class)
             .collect::<Result<Vec<Class>, Error>>()?;
         Ok(Self {
-            places,
+            ranks,
             classes,
             keyless,
         })
     }
 
     fn class(&self, workspace: u32, route: u32) -> &ClassName {
-        let place = self.places.get(&(workspace, route)).copied();
-        &self.classes[place.unwrap_or_default()].name
+        let rank = self.ranks.get(&(workspace, route)).copied();
+        &self.classes[rank.unwrap_or_default()].name
     }
 
     /// Returns the class of a route's requests without a key.
@@ -218,34 +218,34 @@
         self.class(self.keyless, priority).clone()
     }
 
-    /// Returns the classes that the requests of a workspace have in place of
-    /// those of their routes.
+    /// Returns, by the class of the route, the class that requests of a workspace
+    /// have instead.
     fn of_workspace(&self, priority: Option<u32>) -> BTreeMap<ClassName, ClassName> {
         let Some(priority) = priority else {
             return BTreeMap::new();
         };
         let routes = self
-            .places
+            .ranks
             .keys()
-            .filter(|(first, _)| *first == self.keyless);
+            .filter(|(workspace, _)| *workspace == self.keyless);
         let pairs = routes.map(|(_, route)| (self.of_route(*route), self.class(priority, *route)));
         let changed = pairs.filter(|(from, to)| from != *to);
         changed.map(|(from, to)| (from, to.clone())).collect()
     }
 }
 
-fn class(place: usize) -> Result<Class, Error> {
+fn class(rank: usize) -> Result<Class, Error> {
     Ok(Class {
-        name: format!("rank-{place}").parse()?,
+        name: format!("rank-{rank}").parse()?,
         protected: false,
         once_key: None,
         idempotent: false,
         deadline: NO_ROUTE_DEADLINE,
-        retries: RETRIES,
+        retries: REQUEST_RETRIES,
     })
 }
 
-fn workspaces(document: &Document, ranks: &Ranks) -> Option<Workspaces> {
+fn workspaces(document: &Document, ranks: &ClassTable) -> Option<Workspaces> {
     let entries = document.workspaces.as_ref()?;
     let all = entries.iter().map(|(name, entry)| Workspace {
         name: name.clone(),
@@ -261,14 +261,14 @@
 }
 
 fn limit(entry: &WorkspaceEntry) -> Option<Limit> {
-    let is_limited = entry.rate.is_finite() && entry.rate > 0.0;
-    is_limited.then(|| Limit {
+    let has_rate = entry.rate.is_finite() && entry.rate > 0.0;
+    has_rate.then(|| Limit {
         rate: Rate::per_second(entry.rate),
         burst: entry.burst.clamp(0.0, 1e9) as u32,
     })
 }
 
-fn route(name: &RouteName, entry: &RouteEntry, ranks: &Ranks) -> Result<Route, Error> {
+fn route(name: &RouteName, entry: &RouteEntry, ranks: &ClassTable) -> Result<Route, Error> {
     let shares = match &entry.upstream {
         Some(service) => vec![Share {
             service: service.clone(),
@@ -283,8 +283,8 @@
         shares,
         class: ranks.of_route(entry.priority),
         idempotent: entry.kind.is_idempotent(),
-        timeout: span("timeout", entry.timeout)?,
-        objective: span("objective", entry.objective)?,
+        timeout: positive_duration("timeout", entry.timeout)?,
+        objective: positive_duration("objective", entry.objective)?,
         attempts: entry.attempts.max(1),
         public: entry.public,
     })
@@ -298,8 +298,8 @@
     }
 }
 
-/// Reads a time given in seconds.
-fn span(kind: &'static str, seconds: f64) -> Result<PositiveDuration, Error> {
+/// Converts a time in seconds, which must be above 0.
+fn positive_duration(kind: &'static str, seconds: f64) -> Result<PositiveDuration, Error> {
     if !seconds.is_finite() || seconds <= 0.0 {
         return Err(Error::value(kind, format!("{seconds} must be above 0")));
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The adapter to the platform of the users' VMs.
+//! The adapter to the platform that hosts the users' VMs.
 //!
-//! It alone knows the names on the platform's wire. Each is read once, here,
-//! into the product's own types; decisions, state and recovery are elsewhere.
+//! No other module knows the platform's wire names. They are converted here into the
+//! product's own types; decisions, state and recovery are elsewhere.
 
 mod announcement;
 mod configuration;
--- a/src/platform/readiness.rs
+++ b/src/platform/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the daemon takes callers, in the platform's words.
+//! The readiness endpoint in the platform's format.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use crate::tables::Shared;
 use crate::web::{Listening, caller_text, listen};
 
-const PATH: &str = "/readyz";
+const READINESS_PATH: &str = "/readyz";
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// Answers whether the daemon takes callers.
+/// Serves whether the daemon accepts callers.
 ///
 /// # Errors
 ///
@@ -22,8 +22,10 @@
         let ready = shared.is_ready();
         async move {
             match (request.uri().path(), ready) {
-                (PATH, true) => caller_text(StatusCode::OK, TEXT, "ready\n"),
-                (PATH, false) => caller_text(StatusCode::SERVICE_UNAVAILABLE, TEXT, "not ready\n"),
+                (READINESS_PATH, true) => caller_text(StatusCode::OK, TEXT, "ready\n"),
+                (READINESS_PATH, false) => {
+                    caller_text(StatusCode::SERVICE_UNAVAILABLE, TEXT, "not ready\n")
+                }
                 _ => caller_text(StatusCode::NOT_FOUND, TEXT, "no such resource\n"),
             }
         }
--- a/src/platform/row.rs
+++ b/src/platform/row.rs
@@ -1,4 +1,4 @@
-//! Rows as the platform's store writes them.
+//! Rows in the format of the platform's store.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -8,23 +8,23 @@
 
 use crate::store::{Condition, Revision, Row, RowChange};
 
-/// Separates table and key in the product's names of rows.
+/// Separates table and key in the product's row names.
 const SEPARATOR: char = '/';
 
 /// The name of a row in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Name {
+pub(super) struct RowName {
     #[serde(rename = "tableName")]
     pub(super) table: Box<str>,
-    /// The shard of the table; the product uses one only.
+    /// The shard of the table; the product uses a single one.
     #[serde(default)]
     pub(super) part: Box<str>,
     pub(super) key: Box<str>,
 }
 
-impl Name {
-    /// Reads a name of the product, `TABLE/KEY`.
-    pub(super) fn of(name: &str) -> Self {
+impl RowName {
+    /// Parses a row name of the product, `TABLE/KEY`.
+    pub(super) fn parse(name: &str) -> Self {
         let (table, key) = name.split_once(SEPARATOR).unwrap_or((name, ""));
         Self {
             table: table.into(),
@@ -33,30 +33,30 @@
         }
     }
 
-    fn text(&self) -> Box<str> {
+    fn to_text(&self) -> Box<str> {
         format!("{}{SEPARATOR}{}", self.table, self.key).into()
     }
 }
 
-/// A row in an answer of the store.
+/// A row in an answer of the store, possibly deleted.
 #[derive(Debug, Deserialize)]
-pub(super) struct Found {
+pub(super) struct FoundRow {
     #[serde(flatten)]
-    name: Name,
-    /// The content in base64; a writer other than this product may put
-    /// anything here.
+    name: RowName,
+    /// The content in base64; other writers than this product may store any
+    /// JSON value.
     #[serde(default)]
     value: Option<Value>,
-    /// The version of the row, from the store's single counter.
+    /// The version of the row, from a counter that all rows share.
     #[serde(default)]
     ver: u64,
     #[serde(default)]
     deleted: bool,
 }
 
-impl Found {
-    /// Reads a row; one that has no name or version is logged and passed over,
-    /// so that it does not hide the others.
+impl FoundRow {
+    /// Parses a row; one without a valid name or version is logged and skipped, so
+    /// that it does not hide the others.
     fn read(found: &Value) -> Option<Self> {
         let read = Self::deserialize(found);
         if let Err(e) = &read {
@@ -65,15 +65,15 @@
         read.ok()
     }
 
-    /// Returns the row, unless it is gone. A content that cannot be read is
-    /// taken as empty: it says nothing, and can be written over.
+    /// Returns the row, unless it is deleted. Content that cannot be decoded counts
+    /// as empty, so that the row can be overwritten.
     pub(super) fn row(&self) -> Option<Row> {
         if self.deleted {
             return None;
         }
         let value = self.value.as_ref()?;
         let content = value.as_str().and_then(|text| STANDARD.decode(text).ok());
-        let key = self.name.text();
+        let key = self.name.to_text();
         if content.is_none() {
             spdlog::warn!("content of a row not understood", kv: { key = &*key });
         }
@@ -84,57 +84,57 @@
         })
     }
 
-    /// Returns what the row has become.
+    /// Returns the change of the row.
     pub(super) fn change(&self) -> RowChange {
         RowChange {
-            key: self.name.text(),
+            key: self.name.to_text(),
             row: self.row(),
         }
     }
 }
 
-/// An answer of the store with rows.
+/// A page of rows in an answer of the store.
 #[derive(Debug, Deserialize)]
-pub(super) struct Page {
+pub(super) struct RowPage {
     #[serde(default)]
     rows: Vec<Value>,
     #[serde(rename = "morePages", default)]
     pub(super) more: bool,
-    /// The newest version of the store.
+    /// The latest version in the store.
     #[serde(default)]
     pub(super) ver: u64,
 }
 
-impl Page {
-    /// Returns the rows that can be read.
-    pub(super) fn found(&self) -> impl Iterator<Item = Found> {
-        self.rows.iter().filter_map(Found::read)
+impl RowPage {
+    /// Returns the rows that can be parsed.
+    pub(super) fn found(&self) -> impl Iterator<Item = FoundRow> {
+        self.rows.iter().filter_map(FoundRow::read)
     }
 
-    /// Returns the greatest key that can be read.
+    /// Returns the greatest key that can be parsed.
     pub(super) fn last_key(&self) -> Option<&str> {
         let mut keys = self.rows.iter().rev().map(|row| row.get("key"));
         keys.find_map(|key| key?.as_str())
     }
 
-    /// Returns the rows that are there.
+    /// Returns the rows that are not deleted.
     pub(super) fn rows(&self) -> Vec<Row> {
         self.found().filter_map(|found| found.row()).collect()
     }
 }
 
-/// A row and the version that it must have; 0 if it must not exist.
+/// A row and its expected version; 0 if it must not exist.
 #[derive(Debug, Serialize)]
-struct Expected {
+struct ExpectedVersion {
     #[serde(flatten)]
-    name: Name,
+    name: RowName,
     ver: u64,
 }
 
 #[derive(Debug, Serialize)]
-struct Written {
+struct PutRow {
     #[serde(flatten)]
-    name: Name,
+    name: RowName,
     value: String,
 }
 
@@ -142,24 +142,24 @@
 #[derive(Debug, Serialize)]
 pub(super) struct Transaction {
     #[serde(rename = "expectRev")]
-    expected: Vec<Expected>,
-    puts: Vec<Written>,
-    remove: Vec<Name>,
+    expected: Vec<ExpectedVersion>,
+    puts: Vec<PutRow>,
+    remove: Vec<RowName>,
 }
 
 impl Transaction {
-    /// Writes a row under a condition.
-    pub(super) fn write(name: Name, condition: Condition, content: &[u8]) -> Self {
+    /// Makes a conditional write of a row.
+    pub(super) fn write(name: RowName, condition: Condition, content: &[u8]) -> Self {
         let ver = match condition {
             Condition::Absent => 0,
             Condition::Revision(revision) => revision.0,
         };
         Self {
-            expected: vec![Expected {
+            expected: vec![ExpectedVersion {
                 name: name.clone(),
                 ver,
             }],
-            puts: vec![Written {
+            puts: vec![PutRow {
                 name,
                 value: STANDARD.encode(content),
             }],
@@ -167,10 +167,10 @@
         }
     }
 
-    /// Removes a row that has this revision.
-    pub(super) fn remove(name: Name, revision: Revision) -> Self {
+    /// Makes a removal of a row if it has this revision.
+    pub(super) fn remove(name: RowName, revision: Revision) -> Self {
         Self {
-            expected: vec![Expected {
+            expected: vec![ExpectedVersion {
                 name: name.clone(),
                 ver: revision.0,
             }],
--- a/src/platform/row_store.rs
+++ b/src/platform/row_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store behind the product's traits.
+//! HTTP client of the platform's store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::watch;
 
-use super::row::{Name, Page, Transaction};
+use super::row::{RowName, RowPage, Transaction};
 use crate::store::{
     Changes, Condition, Era, Eras, Feed, FeedError, ObjectStore, ReadError, Revision, Row,
     TableStore, WriteError,
@@ -21,16 +21,16 @@
 
 /// Largest answer, in bytes: a page of rows with its framing.
 const MAX_ANSWER: usize = 16 * 1024 * 1024;
-/// Rows asked for in one page; the store gives at most 500.
-const PAGE: usize = 500;
-/// How much longer than it was told to wait a feed may take.
+/// Rows requested per page; the store returns at most 500.
+const PAGE_ROWS: usize = 500;
+/// Added to the requested wait of a feed to get the timeout of its request.
 const FEED_SLACK: Duration = Duration::from_secs(2);
-/// Rises by one each time that the store comes back from a copy.
-const ERA: HeaderName = HeaderName::from_static("store-era");
-/// Longest wait of a feed, by the store's own bound.
-const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Incremented each time that the store is restored from a backup.
+const ERA_HEADER: HeaderName = HeaderName::from_static("store-era");
+/// Longest wait of a feed that the store allows.
+const MAX_FEED_WAIT: Duration = Duration::from_secs(30);
 
-/// The platform's store, met by HTTP.
+/// The platform's store behind an HTTP address.
 #[derive(Clone, Debug)]
 pub struct RowStore {
     client: Client,
@@ -44,16 +44,19 @@
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client: Client::new(timeout, MAX_ANSWER),
-            feeds: Client::new(MAX_WAIT + FEED_SLACK, MAX_ANSWER),
+            feeds: Client::new(MAX_FEED_WAIT + FEED_SLACK, MAX_ANSWER),
             address,
             eras: Arc::default(),
         }
     }
 
-    /// Takes note of the era that an answer tells, if it tells one.
-    fn note(&self, answer: Answer) -> Answer {
-        let told = answer.headers.get(&ERA).and_then(|era| era.to_str().ok());
-        if let Some(era) = told.and_then(|era| era.trim().parse().ok()) {
+    /// Records the era that an answer carries, if any.
+    fn record_era(&self, answer: Answer) -> Answer {
+        let header = answer
+            .headers
+            .get(&ERA_HEADER)
+            .and_then(|era| era.to_str().ok());
+        if let Some(era) = header.and_then(|era| era.trim().parse().ok()) {
             self.eras.record(Era(era));
         }
         answer
@@ -75,15 +78,15 @@
     }
 
     async fn get(&self, path: &str) -> Result<Answer, ReadError> {
-        let lost = |e: ClientError| ReadError(e.to_string().into());
+        let read_error = |e: ClientError| ReadError(e.to_string().into());
         let request = self
             .request(Method::GET, path, Bytes::new())
-            .map_err(lost)?;
-        let answer = self.client.send(request).await.map_err(lost)?;
-        Ok(self.note(answer))
+            .map_err(read_error)?;
+        let answer = self.client.send(request).await.map_err(read_error)?;
+        Ok(self.record_era(answer))
     }
 
-    async fn page(&self, path: &str) -> Result<Page, ReadError> {
+    async fn page(&self, path: &str) -> Result<RowPage, ReadError> {
         let answer = self.get(path).await?;
         match answer.status {
             StatusCode::OK => decode(&answer).map_err(ReadError),
@@ -91,13 +94,13 @@
         }
     }
 
-    /// Sends a change; the store says by 429 and 503 that it did nothing.
+    /// Sends a change; a status of 429 or 503 means that the store did nothing.
     async fn change(&self, request: Request<Full<Bytes>>) -> Result<Answer, WriteError> {
         let answer = self.client.send(request).await.map_err(|e| match e {
             ClientError::Connect(cause) => WriteError::NotSent(cause),
             ClientError::Lost(cause) => WriteError::Unknown(cause),
         })?;
-        let answer = self.note(answer);
+        let answer = self.record_era(answer);
         let cause = || format!("status {}", answer.status).into();
         match answer.status {
             StatusCode::OK | StatusCode::PRECONDITION_FAILED => Ok(answer),
@@ -116,7 +119,7 @@
         let json = HeaderValue::from_static("application/json");
         request.headers_mut().insert(CONTENT_TYPE, json);
         let answer = self.change(request).await?;
-        let page: Page = decode(&answer).map_err(WriteError::Unknown)?;
+        let page: RowPage = decode(&answer).map_err(WriteError::Unknown)?;
         if answer.status == StatusCode::OK {
             return Ok(Revision(page.ver));
         }
@@ -133,8 +136,8 @@
     serde_json::from_slice(&answer.body).map_err(|e| text(&e))
 }
 
-/// Writes a text as it stands in a query.
-fn quoted(text: &str) -> String {
+/// Percent-encodes a text for a path or query.
+fn percent_encode(text: &str) -> String {
     text.bytes()
         .map(|byte| match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' | b'~' => {
@@ -148,13 +151,13 @@
 impl TableStore for RowStore {
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, ReadError>> {
         Box::pin(async move {
-            let name = Name::of(key);
-            // The range ends before its second key, so that it holds one row.
+            let name = RowName::parse(key);
+            // The end of the range is exclusive, so that it holds only this row.
             let path = format!(
                 "/rows-get?tableName={}&part=&from={}&to={}&limit=1",
-                quoted(&name.table),
-                quoted(&name.key),
-                quoted(&format!("{}\0", name.key)),
+                percent_encode(&name.table),
+                percent_encode(&name.key),
+                percent_encode(&format!("{}\0", name.key)),
             );
             let page = self.page(&path).await?;
             let mut rows = page.rows().into_iter();
@@ -169,7 +172,7 @@
         content: Bytes,
     ) -> BoxFuture<'a, Result<Revision, WriteError>> {
         Box::pin(async move {
-            let change = Transaction::write(Name::of(key), condition, &content);
+            let change = Transaction::write(RowName::parse(key), condition, &content);
             self.transact(key, &change).await
         })
     }
@@ -180,27 +183,28 @@
         revision: Revision,
     ) -> BoxFuture<'a, Result<(), WriteError>> {
         Box::pin(async move {
-            let change = Transaction::remove(Name::of(key), revision);
+            let change = Transaction::remove(RowName::parse(key), revision);
             self.transact(key, &change).await.map(drop)
         })
     }
 
     fn scan<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<Row>, ReadError>> {
         Box::pin(async move {
-            let name = Name::of(prefix);
+            let name = RowName::parse(prefix);
             let mut all: Vec<Row> = Vec::new();
             let mut from = name.key.to_string();
             loop {
                 let path = format!(
-                    "/rows-get?tableName={}&part=&from={}&limit={PAGE}",
-                    quoted(&name.table),
-                    quoted(&from),
+                    "/rows-get?tableName={}&part=&from={}&limit={PAGE_ROWS}",
+                    percent_encode(&name.table),
+                    percent_encode(&from),
                 );
                 let page = self.page(&path).await?;
                 let found = page.rows();
                 let beyond = found.iter().any(|row| !row.key.starts_with(prefix));
                 all.extend(found.into_iter().filter(|row| row.key.starts_with(prefix)));
-                // Rows that cannot be read end no scan; their keys lead on.
+                // A page of invalid rows does not end the scan; it continues after
+                // their last key.
                 let last = page.last_key().filter(|last| **last >= *from);
                 match last {
                     Some(last) if page.more && !beyond => from = format!("{last}\0"),
@@ -223,10 +227,10 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<Changes, FeedError>> {
         Box::pin(async move {
-            let wait = wait.min(MAX_WAIT);
+            let wait = wait.min(MAX_FEED_WAIT);
             let path = format!(
                 "/rows-feed?tableName={}&after={after}&waitMs={}",
-                quoted(table),
+                percent_encode(table),
                 wait.as_millis()
             );
             let failed = |e: ClientError| FeedError::Failed(text(&e));
@@ -234,13 +238,13 @@
                 .request(Method::GET, &path, Bytes::new())
                 .map_err(failed)?;
             let answer = self.feeds.send_within(request, wait + FEED_SLACK).await;
-            let answer = self.note(answer.map_err(failed)?);
+            let answer = self.record_era(answer.map_err(failed)?);
             match answer.status {
                 StatusCode::OK => {}
                 StatusCode::GONE => return Err(FeedError::HistoryExpired),
                 status => return Err(FeedError::Failed(format!("status {status}").into())),
             }
-            let page: Page = decode(&answer).map_err(FeedError::Failed)?;
+            let page: RowPage = decode(&answer).map_err(FeedError::Failed)?;
             Ok(Changes {
                 changes: page.found().map(|found| found.change()).collect(),
                 revision: Revision(page.ver),
@@ -252,7 +256,8 @@
 impl ObjectStore for RowStore {
     fn get<'a>(&'a self, name: &'a str) -> BoxFuture<'a, Result<Option<Bytes>, ReadError>> {
         Box::pin(async move {
-            let answer = RowStore::get(self, &format!("/blob-get/{}", quoted(name))).await?;
+            let answer =
+                RowStore::get(self, &format!("/blob-get/{}", percent_encode(name))).await?;
             match answer.status {
                 StatusCode::OK => Ok(Some(answer.body)),
                 StatusCode::NOT_FOUND => Ok(None),
@@ -263,14 +268,14 @@
 
     fn put<'a>(&'a self, name: &'a str, content: Bytes) -> BoxFuture<'a, Result<(), WriteError>> {
         Box::pin(async move {
-            let path = format!("/blob-put/{}", quoted(name));
+            let path = format!("/blob-put/{}", percent_encode(name));
             let mut request = self
                 .request(Method::PUT, &path, content)
                 .map_err(|e| WriteError::NotSent(text(&e)))?;
             let any = HeaderValue::from_static("*");
             request.headers_mut().insert(IF_NONE_MATCH, any);
-            // An object that is there already has the same content, since it
-            // is named by it.
+            // An existing object has the same content, since objects are named by
+            // their content.
             self.change(request).await.map(drop)
         })
     }
