--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The platform met by HTTP with conditional requests.
+//! HTTP client of the platform that uses conditional requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -82,13 +82,13 @@
     }
 }
 
-fn revision_of(answer: &Answer) -> Option<Revision> {
+fn read_revision(answer: &Answer) -> Option<Revision> {
     let tag = answer.headers.get(ETAG)?.to_str().ok()?;
     tag.trim_matches('"').parse().ok().map(Revision)
 }
 
 fn conflict(key: &str, answer: Answer) -> WriteError {
-    WriteError::Conflict(revision_of(&answer).map(|revision| Row {
+    WriteError::Conflict(read_revision(&answer).map(|revision| Row {
         key: key.into(),
         revision,
         content: answer.body,
@@ -116,7 +116,8 @@
             let Some(answer) = self.get_path(&format!("/table/{key}")).await? else {
                 return Ok(None);
             };
-            let revision = revision_of(&answer).ok_or(ReadError("no revision".into()))?;
+            let revision =
+                read_revision(&answer).ok_or(ReadError("the answer has no valid ETag".into()))?;
             Ok(Some(Row {
                 key: key.into(),
                 revision,
@@ -138,7 +139,7 @@
             if answer.status == StatusCode::PRECONDITION_FAILED {
                 return Err(conflict(key, answer));
             }
-            revision_of(&answer).ok_or(WriteError::Unknown("no revision".into()))
+            read_revision(&answer).ok_or(WriteError::Unknown("the answer has no valid ETag".into()))
         })
     }
 
--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -1,13 +1,13 @@
-//! Which history of the store its answers are from.
+//! Detects from answers that the store was restored from a backup.
 
 use std::fmt;
 
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-/// Counts how often a store has come back from a copy that was some seconds
-/// old. Between two eras it loses what it had acknowledged since the copy, and
-/// gives revisions out again.
+/// Counts how often a store was restored from a backup. The backup is some seconds
+/// old: a restore loses the writes acknowledged since then, and the store assigns
+/// their revisions again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Era(pub u64);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// What is known of the eras of one store.
+/// The last known era of one store.
 #[derive(Debug)]
 pub struct Eras {
     known: Mutex<Option<Era>>,
@@ -34,24 +34,24 @@
 }
 
 impl Eras {
-    /// Takes note of the era of an answer. A higher one than known means that
-    /// the store went back; late answers of lower ones mean nothing.
-    pub fn record(&self, told: Era) {
+    /// Records the era of an answer. A higher era than the known one means that the
+    /// store was restored; late answers of lower eras are ignored.
+    pub fn record(&self, era: Era) {
         let mut known = self.known.lock();
         let Some(before) = *known else {
-            *known = Some(told);
+            *known = Some(era);
             return;
         };
-        if told <= before {
+        if era <= before {
             return;
         }
-        *known = Some(told);
+        *known = Some(era);
         drop(known);
-        spdlog::warn!("store went back", kv: { era = told.0, before = before.0 });
-        self.restores.send_modify(|times| *times += 1);
+        spdlog::warn!("store restored from a backup", kv: { era = era.0, before = before.0 });
+        self.restores.send_modify(|count| *count += 1);
     }
 
-    /// Returns a watch over how often the store is known to have gone back.
+    /// Returns a watch over the number of detected restores.
     pub fn restores(&self) -> watch::Receiver<u64> {
         self.restores.subscribe()
     }
--- a/src/store/memory.rs
+++ b/src/store/memory.rs
@@ -1,4 +1,4 @@
-//! A platform in memory whose faults can be set.
+//! An in-memory platform with configurable faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Every answer takes this many milliseconds.
+    /// Every answer is delayed by this many milliseconds.
     Slow(u64),
-    /// It does not answer, and nothing takes effect.
+    /// Every request fails without effect.
     Down,
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect, but their answers are lost.
     LoseAnswers,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl MemoryPlatform {
-    /// Sets the fault from now on.
+    /// Sets the current fault.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().fault = fault;
     }
 
-    /// Returns the fault that is set.
+    /// Returns the current fault.
     pub fn fault(&self) -> Fault {
         self.state.lock().fault
     }
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Returns whether the answer to the write must be lost.
     async fn begin_write(&self) -> Result<bool, WriteError> {
         let fault = {
             let mut state = self.state.lock();
@@ -98,7 +99,7 @@
     }
 }
 
-fn lose<T>(lost: bool, result: T) -> Result<T, WriteError> {
+fn answer_write<T>(lost: bool, result: T) -> Result<T, WriteError> {
     if lost {
         return Err(WriteError::Unknown("answer lost".into()));
     }
@@ -118,7 +119,9 @@
         let row = self.row(key);
         match (condition, &row) {
             (Condition::Absent, None) => Ok(Revision::default()),
-            (Condition::Revision(wanted), Some(found)) if found.revision == wanted => Ok(wanted),
+            (Condition::Revision(expected), Some(found)) if found.revision == expected => {
+                Ok(expected)
+            }
             _ => Err(WriteError::Conflict(row)),
         }
     }
@@ -147,7 +150,7 @@
                 state.rows.insert(key.into(), (revision, content));
                 revision
             };
-            lose(lost, revision)
+            answer_write(lost, revision)
         })
     }
 
@@ -163,7 +166,7 @@
                 state.check(key, Condition::Revision(revision))?;
                 state.rows.remove(key);
             }
-            lose(lost, ())
+            answer_write(lost, ())
         })
     }
 
@@ -193,7 +196,7 @@
         Box::pin(async move {
             let lost = self.begin_write().await?;
             self.state.lock().objects.insert(name.into(), content);
-            lose(lost, ())
+            answer_write(lost, ())
         })
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's table service and object store.
+//! Clients and stand-ins of the platform's table service and object store.
 
 mod client;
 mod conditional_write;
--- a/src/store/standin.rs
+++ b/src/store/standin.rs
@@ -1,8 +1,8 @@
-//! A small stand-in for the platform, served by HTTP.
+//! An HTTP stand-in for the platform.
 //!
-//! Rows are at `/table/KEY` with their revision as `ETag`, and take `If-Match`
-//! and `If-None-Match: *`; `/scan/PREFIX` lists rows; objects are at
-//! `/objects/NAME`; `/fault` sets how it misbehaves.
+//! `/table/KEY` holds a row, with its revision as `ETag`; writes need `If-Match` or
+//! `If-None-Match: *`. `/scan/PREFIX` lists rows, `/objects/NAME` holds an object,
+//! `/fault` sets the current fault and `/counts` returns the requests so far.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::error::Error;
 use crate::web::{HttpRequest, HttpResponse, Running, answer_json, answer_text, serve};
 
-/// Largest content that is taken, in bytes.
+/// Largest accepted content, in bytes.
 const MAX_CONTENT: usize = 16 * 1024 * 1024;
 
 /// One row in the answer to a scan.
@@ -108,13 +108,13 @@
             Ok(None) => answer_text(StatusCode::NOT_FOUND, "no such row"),
             Err(e) => answer_text(StatusCode::SERVICE_UNAVAILABLE, e.to_string()),
         },
-        Method::PUT => match condition(headers) {
-            Some(condition) => written(memory.write(key, condition, body).await),
+        Method::PUT => match read_condition(headers) {
+            Some(condition) => write_answer(memory.write(key, condition, body).await),
             None => answer_text(StatusCode::PRECONDITION_REQUIRED, "a condition is missing"),
         },
-        Method::DELETE => match condition(headers) {
+        Method::DELETE => match read_condition(headers) {
             Some(Condition::Revision(revision)) => {
-                written(memory.delete(key, revision).await.map(|()| revision))
+                write_answer(memory.delete(key, revision).await.map(|()| revision))
             }
             _ => answer_text(StatusCode::PRECONDITION_REQUIRED, "If-Match is missing"),
         },
@@ -122,7 +122,7 @@
     }
 }
 
-fn condition(headers: &HeaderMap) -> Option<Condition> {
+fn read_condition(headers: &HeaderMap) -> Option<Condition> {
     if headers.get(IF_NONE_MATCH).is_some_and(|v| v == "*") {
         return Some(Condition::Absent);
     }
@@ -131,11 +131,11 @@
     Some(Condition::Revision(Revision(revision)))
 }
 
-fn written(result: Result<Revision, WriteError>) -> HttpResponse {
+fn write_answer(result: Result<Revision, WriteError>) -> HttpResponse {
     match result {
         Ok(revision) => {
             let mut answer = answer_text(StatusCode::OK, "");
-            tag(&mut answer, revision);
+            set_etag(&mut answer, revision);
             answer
         }
         Err(WriteError::Conflict(Some(row))) => row_answer(StatusCode::PRECONDITION_FAILED, row),
@@ -146,11 +146,11 @@
 
 fn row_answer(status: StatusCode, row: Row) -> HttpResponse {
     let mut answer = answer_text(status, "");
-    tag(&mut answer, row.revision);
+    set_etag(&mut answer, row.revision);
     answer.map(|_| xitca_web::body::ResponseBody::bytes(row.content))
 }
 
-fn tag(answer: &mut HttpResponse, revision: Revision) {
+fn set_etag(answer: &mut HttpResponse, revision: Revision) {
     if let Ok(value) = HeaderValue::from_str(&format!("\"{revision}\"")) {
         answer.headers_mut().insert(ETAG, value);
     }
--- a/src/store/traits.rs
+++ b/src/store/traits.rs
@@ -1,4 +1,4 @@
-//! The two traits that stand for the platform.
+//! The traits through which the platform's services are used.
 
 use std::fmt;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 /// One row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its name.
+    /// The name of the row.
     pub key: Box<str>,
-    /// Its revision.
+    /// The revision of the content.
     pub revision: Revision,
-    /// Its content.
+    /// The content.
     pub content: Bytes,
 }
 
@@ -41,7 +41,7 @@
     Revision(Revision),
 }
 
-/// Why a read gave nothing.
+/// Why a read failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadError(pub Box<str>);
 
@@ -51,10 +51,10 @@
     }
 }
 
-/// Why a write is not known to have taken effect.
+/// Why a write failed or its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// The condition did not hold; here is the row, if there is one.
+    /// The condition did not hold; holds the current row, if any.
     Conflict(Option<Row>),
     /// Nothing was sent.
     NotSent(Box<str>),
@@ -65,10 +65,10 @@
 impl fmt::Display for WriteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(_) => f.write_str("the row was changed by somebody else"),
+            Self::Conflict(_) => f.write_str("the row was changed by another writer"),
             Self::NotSent(cause) => write!(f, "the platform could not be reached: {cause}"),
             Self::Unknown(cause) => {
-                write!(f, "the platform did not say whether it wrote: {cause}")
+                write!(f, "the platform did not confirm the write: {cause}")
             }
         }
     }
@@ -79,7 +79,7 @@
     /// Reads a row.
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, ReadError>>;
 
-    /// Writes a row if the condition holds; the revision is the new one.
+    /// Writes a row if the condition holds; returns the new revision.
     fn write<'a>(
         &'a self,
         key: &'a str,
@@ -97,42 +97,42 @@
     /// Reads all rows whose names begin with `prefix`, in order.
     fn scan<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<Row>, ReadError>>;
 
-    /// Returns a watch over how often the service is known to have come back
-    /// from a copy, which loses the latest writes; one that never does keeps
-    /// this default.
+    /// Returns a watch over the number of detected restores from a backup, each of
+    /// which loses the latest writes. The default is for services that are never
+    /// restored.
     fn restores(&self) -> watch::Receiver<u64> {
         watch::Sender::new(0).subscribe()
     }
 }
 
-/// What one row has become.
+/// The change of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange {
     /// The name of the row.
     pub key: Box<str>,
-    /// The row, unless it is gone.
+    /// The row, unless it was deleted.
     pub row: Option<Row>,
 }
 
-/// The changes of a table since some revision.
+/// The changes of a table after a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes {
     /// The changes in order.
     pub changes: Vec<RowChange>,
-    /// The revision up to which they are told.
+    /// The revision up to which the changes are complete.
     pub revision: Revision,
 }
 
-/// Why a feed gave nothing.
+/// Why a feed returned no changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedError {
-    /// The changes since then are no longer known; the rows must be read.
+    /// The store no longer has the changes since then; the rows must be read.
     HistoryExpired,
     /// The platform did not answer.
     Failed(Box<str>),
 }
 
-/// A table service that tells of changes.
+/// A table service that reports changes.
 pub trait Feed: TableStore {
     /// Returns the changes of a table after a revision, as soon as there are
     /// any, or none after `wait`.
@@ -153,7 +153,7 @@
     fn put<'a>(&'a self, name: &'a str, content: Bytes) -> BoxFuture<'a, Result<(), WriteError>>;
 }
 
-/// Both services together.
+/// A table service and object store in one.
 pub trait Platform: TableStore + ObjectStore {}
 
 impl<T: TableStore + ObjectStore> Platform for T {}
