--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -1,5 +1,5 @@
-//! The interface to backend servers and callers: answers that are short, cut
-//! or no HTTP, bodies that are cut, heads that are too large.
+//! Invalid HTTP of backend servers and callers: truncated or malformed answers,
+//! truncated bodies, heads that are too large. Also calls that run once per key.
 
 #![allow(missing_docs)]
 
@@ -18,7 +18,7 @@
 use support::{headers, request};
 
 /// A backend server that answers each connection with fixed bytes.
-fn raw_backend(address: SocketAddr, answer: &'static [u8]) {
+fn start_raw_backend(address: SocketAddr, answer: &'static [u8]) {
     let listener = TcpListener::bind(address).expect("a listener");
     std::thread::spawn(move || {
         for stream in listener.incoming().take(64) {
@@ -51,7 +51,7 @@
 #[case::garbage(b"\x00\x01\x02 not http\r\n\r\n", "answer-garbled", "may-have-run")]
 #[case::half_head(b"HTTP/1.1 200 OK\r\ncontent-le", "answer-cut", "may-have-run")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn backend_answers_badly(
+async fn invalid_answer_gives_reason_and_verdict(
     #[case] answer: &'static [u8],
     #[case] reason: &str,
     #[case] verdict: &str,
@@ -59,7 +59,7 @@
     let site = site().await;
     let server = &site.servers[0];
     let good = server.callers;
-    // A second server of the same service whose backend server is bad.
+    // A second server of the same service, whose backend server answers badly.
     let mut bad_site = site;
     let name = bad_site.servers[0].service.clone();
     let centre = bad_site.estate.centres[0].name.clone();
@@ -73,9 +73,9 @@
     let address = bad.daemon.shared().config.backend;
     drop(bad.backend);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    raw_backend(address, answer);
+    start_raw_backend(address, answer);
     let host = headers(&[("host", "station-status")]);
-    // A POST is not idempotent, so what it met is told at once.
+    // A POST is not idempotent, so its failure is returned without a retry.
     let mut seen = None;
     for _ in 0..40 {
         let url = format!("http://{}/x", bad.callers);
@@ -90,7 +90,7 @@
     let seen = seen.expect("a refusal");
     assert_eq!(seen.headers["bramleymount-reason"], reason);
     assert_eq!(seen.headers["bramleymount-verdict"], verdict);
-    // Nothing else is disturbed.
+    // The other server still works.
     let url = format!("http://{good}/x");
     for _ in 0..4 {
         let got = request(Method::GET, &url, host.clone(), Bytes::new()).await;
@@ -100,21 +100,21 @@
     }
 }
 
-/// Whether a caller closes its sending side after its request. To the entry
-/// that is a caller who has left, so only one whose request is cut does it.
+/// Whether a caller closes its sending side after its request. The entry takes that
+/// for a caller that has left, so it is used only with an incomplete request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum After {
-    Wait,
+enum SendSide {
+    Open,
     Close,
 }
 
-fn raw_call(address: SocketAddr, bytes: &[u8], after: After) -> String {
+fn raw_call(address: SocketAddr, bytes: &[u8], send_side: SendSide) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a timeout");
     stream.write_all(bytes).expect("sent");
-    if after == After::Close {
+    if send_side == SendSide::Close {
         let _ = stream.shutdown(std::net::Shutdown::Write);
     }
     let mut text = Vec::new();
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_send_badly() {
+async fn invalid_requests_are_refused() {
     let site = site().await;
     let address = site.servers[0].callers;
     let big = format!(
@@ -142,14 +142,14 @@
         (b"GET / HTTP/1.1\r\nhost: station-status\r\nbramleymount-timeout: soon\r\nconnection: close\r\n\r\n", "400"),
     ];
     for (bytes, status) in cases {
-        let answer = tokio::task::block_in_place(|| raw_call(address, bytes, After::Wait));
+        let answer = tokio::task::block_in_place(|| raw_call(address, bytes, SendSide::Open));
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status}")),
             "{answer}"
         );
     }
     let cut = b"PUT / HTTP/1.1\r\nhost: station-status\r\ncontent-length: 50\r\n\r\nhalf";
-    let answer = tokio::task::block_in_place(|| raw_call(address, cut, After::Close));
+    let answer = tokio::task::block_in_place(|| raw_call(address, cut, SendSide::Close));
     assert!(answer.is_empty() || answer.contains("not-run"), "{answer}");
     let host = headers(&[("host", "station-status")]);
     let url = format!("http://{address}/x");
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn once_call_needs_key_and_keeps_answer() {
+async fn once_call_needs_key_and_stores_answer() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
     let mut estate = Site::estate(&dir, 2, 0.1).expect("an estate");
     estate
--- a/tests/platform_daemon.rs
+++ b/tests/platform_daemon.rs
@@ -1,5 +1,4 @@
-//! Daemons on the platform: what callers, backend servers and the platform
-//! see of them.
+//! Daemons on the platform, as callers, backend servers and the platform see them.
 
 #![allow(missing_docs)]
 
@@ -17,7 +16,7 @@
 use support::rows::{RowsStandIn, Trouble};
 
 #[tokio::test]
-async fn answer_is_whole_and_its_origin_set() {
+async fn call_returns_whole_answer_and_sets_origin() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -35,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn daemon_without_configuration_promises_not_run() {
+async fn daemon_without_configuration_refuses_as_not_run() {
     let (address, rows, _listening) = store().await;
     let vm = vm("svc", address).await;
     let answer = vm.ask(Method::POST, "/write/x", "r1").await;
@@ -50,7 +49,7 @@
 #[case::no_slash("/write", 404)]
 #[case::no_server_yet("/write/x", 503)]
 #[tokio::test]
-async fn refusals_say_what_is_true(#[case] path: &str, #[case] status: u16) {
+async fn refusal_status_by_path(#[case] path: &str, #[case] status: u16) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -65,7 +64,11 @@
 #[case::no_answer_of_a_server("/write/unsigned", 502, 1)]
 #[case::repeated("/read/unsigned", 502, 1)]
 #[tokio::test]
-async fn failures_keep_their_promise(#[case] path: &str, #[case] status: u16, #[case] runs: usize) {
+async fn failure_status_and_runs_by_path(
+    #[case] path: &str,
+    #[case] status: u16,
+    #[case] runs: usize,
+) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -80,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn timeout_is_answered_at_once() {
+async fn timeout_is_answered_in_time() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 0.4));
     let vm = vm("svc", address).await;
@@ -95,19 +98,19 @@
 }
 
 #[tokio::test]
-async fn caller_that_leaves_ends_the_work() {
+async fn caller_disconnect_cancels_call() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 10.0));
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
     let working = || vm.seen.working.load(Ordering::SeqCst);
-    let asked = async {
-        let asked = vm.ask(Method::GET, "/read/slow", "r1");
-        let _ = tokio::time::timeout(Duration::from_millis(300), asked).await;
+    let call = async {
+        let call = vm.ask(Method::GET, "/read/slow", "r1");
+        let _ = tokio::time::timeout(Duration::from_millis(300), call).await;
     };
     let started = eventually("the work", || async { (working() == 1).then_some(()) });
-    tokio::join!(asked, started);
+    tokio::join!(call, started);
     let end = std::time::Instant::now() + Duration::from_millis(500);
     while working() > 0 {
         assert!(std::time::Instant::now() < end, "the server still works");
@@ -115,10 +118,10 @@
     }
 }
 
-/// The call goes to another daemon as a plain one, since that daemon has just
-/// answered another call.
+/// The call is sent to the other daemon as a plain HTTP call, since that daemon has
+/// just answered another call.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn caller_that_leaves_ends_the_work_at_another_daemon() {
+async fn caller_disconnect_cancels_call_at_another_daemon() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 10.0));
     let serving = vm("svc", address).await;
@@ -131,12 +134,12 @@
     })
     .await;
     let working = || serving.seen.working.load(Ordering::SeqCst);
-    let asked = async {
-        let asked = entry.ask(Method::GET, "/read/slow", "r1");
-        let _ = tokio::time::timeout(Duration::from_millis(300), asked).await;
+    let call = async {
+        let call = entry.ask(Method::GET, "/read/slow", "r1");
+        let _ = tokio::time::timeout(Duration::from_millis(300), call).await;
     };
     let started = eventually("the work", || async { (working() == 1).then_some(()) });
-    tokio::join!(asked, started);
+    tokio::join!(call, started);
     let end = std::time::Instant::now() + Duration::from_millis(500);
     while working() > 0 {
         assert!(std::time::Instant::now() < end, "the server still works");
@@ -145,13 +148,13 @@
 }
 
 #[tokio::test]
-async fn leaving_server_gets_nothing() {
+async fn draining_server_gets_no_calls() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 4).await;
-    // The store is away, which changes nothing for a server on the same VM.
+    // An unreachable store must not delay the draining of a server on the same VM.
     rows.set(Trouble::Silent);
     assert_eq!(vm.announce("draining", 6).await.status, StatusCode::OK);
     let late = vm.announce("ready", 5).await;
@@ -163,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn configuration_grows_by_feed_and_never_falls_back() {
+async fn configuration_follows_feed_and_never_downgrades() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -180,9 +183,9 @@
     eventually("version 13", || async { (version() == 13).then_some(()) }).await;
 }
 
-/// Adds a member whose daemon takes connections and never answers, as behind a
-/// cut, while the listener is kept.
-fn silent_member(rows: &RowsStandIn) -> TcpListener {
+/// Adds a member whose daemon accepts connections and never answers, as in a network
+/// partition. It lasts until the listener is dropped.
+fn add_silent_member(rows: &RowsStandIn) -> TcpListener {
     let silent = TcpListener::bind(free_address().expect("a port")).expect("a listener");
     let at = silent.local_addr().expect("an address");
     let member = format!(
@@ -194,10 +197,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn unsafe_calls_pass_by_a_silent_guard() {
+async fn unsafe_calls_avoid_silent_guard() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
-    let _silent = silent_member(&rows);
+    let _silent = add_silent_member(&rows);
     let serving = vm("svc", address).await;
     serving.announce("ready", 1).await;
     let entry = vm("other", address).await;
@@ -219,7 +222,7 @@
 }
 
 #[tokio::test]
-async fn stop_takes_callers_off_first() {
+async fn stop_closes_readiness_before_calls() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -230,8 +233,8 @@
     let stopping = tokio::spawn(vm.daemon.stop(std::future::pending()));
     tokio::time::sleep(Duration::from_millis(200)).await;
     let url = format!("http://{readiness}/readyz");
-    let asked = support::request(Method::GET, &url, http::HeaderMap::new(), "".into()).await;
-    let status = asked.map(|answer| answer.status);
+    let call = support::request(Method::GET, &url, http::HeaderMap::new(), "".into()).await;
+    let status = call.map(|answer| answer.status);
     assert_eq!(status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let url = format!("http://{callers}/read/x");
     let sent = support::headers(&[("host", "a.example"), ("x-request-id", "r1")]);
@@ -240,25 +243,25 @@
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.headers["connection"], "close");
     assert_eq!(seen.runs.lock().len(), 1);
-    assert!(stopping.await.expect("a stop"), "a call was cut");
+    assert!(stopping.await.expect("a stop"), "a call was aborted");
     let left = rows.calls();
     assert!(left > 0);
 }
 
-/// The platform ends a process by force six seconds after it asked it to stop,
-/// here while the store and a neighbour are silent. A call that is still under
-/// way may be ended in the last of these seconds, not before.
+/// The platform kills a process six seconds after it asked it to stop. A daemon must
+/// stop within that time although the store and a neighbour do not answer, and may
+/// abort a call in progress only in the last second.
 #[rstest]
 #[case::idle(None, 4.9)]
 #[case::call_under_way(Some("/read/slow"), 5.6)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn stop_ends_in_time_though_store_and_neighbours_are_silent(
+async fn stop_ends_in_time_with_silent_store_and_neighbour(
     #[case] call: Option<&'static str>,
     #[case] most_seconds: f64,
 ) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 20.0));
-    let _silent = silent_member(&rows);
+    let _silent = add_silent_member(&rows);
     let vm = vm("svc", address).await;
     vm.wait_ready().await;
     vm.announce("ready", 1).await;
@@ -284,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn server_drained_by_an_operator_stays_so() {
+async fn server_drained_by_operator_stays_drained() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -298,18 +301,18 @@
 }
 
 #[tokio::test]
-async fn server_that_starts_again_under_its_id_is_served() {
+async fn restarted_server_with_same_id_gets_calls() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
-    let beat = |born: u64, cold: u64, sequence: u64| {
+    let run_state = |born: u64, cold: u64, sequence: u64| {
         format!(r#""state":"ready","coldLeftS":{cold},"sequence":{sequence},"born":{born}"#)
     };
     vm.wait_ready().await;
-    vm.announce_with(&beat(1_000, 0, 40)).await;
+    vm.announce_with(&run_state(1_000, 0, 40)).await;
     let warm = vm.daemon.guard().gate().load().2;
-    // It crashes and is back before its lease has ended.
-    vm.announce_with(&beat(2_000, 2, 1)).await;
+    // It crashes and restarts before its lease expires.
+    vm.announce_with(&run_state(2_000, 2, 1)).await;
     let cold = vm.daemon.guard().gate().load().2;
     assert!(cold < warm, "{cold} slots at once, {warm} before");
     let answer = vm.ask(Method::POST, "/write/1", "r1").await;
@@ -317,7 +320,7 @@
     vm.depart().await;
     let answer = vm.ask(Method::POST, "/write/1", "r2").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    vm.announce_with(&beat(3_000, 0, 1)).await;
+    vm.announce_with(&run_state(3_000, 0, 1)).await;
     let answer = vm.ask(Method::POST, "/write/1", "r3").await;
     assert_eq!(answer.status, StatusCode::OK);
 }
@@ -332,7 +335,7 @@
 )]
 #[case::no_json("\u{0}\u{1}{{{")]
 #[tokio::test]
-async fn announcement_of_another_writer_changes_nothing(#[case] body: &'static str) {
+async fn invalid_announcement_is_ignored(#[case] body: &'static str) {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
@@ -344,10 +347,10 @@
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-// Guards against callers that are told to come back at a time of the daemon's own,
-// though the server that refused them had said when.
+// Guards against a retry-after time of the daemon's own where the server that refused
+// the request gave one.
 #[tokio::test]
-async fn refused_caller_is_told_when_the_server_takes_it() {
+async fn refused_caller_gets_retry_after_of_server() {
     let (address, rows, _listening) = store().await;
     rows.put("op", "config", &document(7, "svc", 2.0));
     let vm = vm("svc", address).await;
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store behind the product's traits, over HTTP.
+//! The client of the platform's store against an HTTP stand-in.
 
 #![allow(missing_docs)]
 
@@ -17,7 +17,7 @@
 use rstest::rstest;
 use support::rows::{RowsStandIn, Trouble};
 
-/// Short, so that answers which never come are noticed soon.
+/// Short, so that tests of missing answers end soon.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
 async fn store() -> (RowStore, Arc<RowsStandIn>, Listening) {
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn write_holds_to_its_condition() {
+async fn write_checks_condition() {
     let (store, _rows, _listening) = store().await;
     let key = "member/10.0.0.1:80";
     assert_eq!(store.read(key).await.expect("a read"), None);
@@ -50,9 +50,9 @@
 #[tokio::test]
 async fn scan_reads_all_pages() {
     let (store, _rows, _listening) = store().await;
-    let names: Vec<String> = (0..7).map(|n| format!("member/{n}")).collect();
-    for name in &names {
-        let wrote = store.write(name, Condition::Absent, "x".into()).await;
+    let keys: Vec<String> = (0..7).map(|n| format!("member/{n}")).collect();
+    for key in &keys {
+        let wrote = store.write(key, Condition::Absent, "x".into()).await;
         wrote.expect("a write");
     }
     store
@@ -61,11 +61,11 @@
         .expect("a write");
     let rows = store.scan("member/").await.expect("a scan");
     let found: Vec<&str> = rows.iter().map(|row| &*row.key).collect();
-    assert_eq!(found, names);
+    assert_eq!(found, keys);
 }
 
 #[tokio::test]
-async fn changes_come_as_soon_as_there_are_any() {
+async fn changes_return_on_first_change() {
     let (store, rows, _listening) = store().await;
     rows.put("op", "config", "one");
     let first = store
@@ -74,12 +74,12 @@
         .expect("a read")
         .expect("a row");
     let wait = Duration::from_secs(5);
-    let asked = store.changes("op", first.revision, wait);
-    let written = async {
+    let pending = store.changes("op", first.revision, wait);
+    let write = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         rows.put("op", "config", "two");
     };
-    let (changes, ()) = tokio::join!(asked, written);
+    let (changes, ()) = tokio::join!(pending, write);
     let changes = changes.expect("changes");
     let row = changes.changes[0].row.as_ref().expect("a row");
     assert_eq!((&*row.key, &*row.content), ("op/config", &b"two"[..]));
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn changes_tell_rows_that_are_gone() {
+async fn changes_include_deleted_rows() {
     let (store, _rows, _listening) = store().await;
     let at = store.write("t/a", Condition::Absent, "x".into()).await;
     let at = at.expect("a write");
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn changes_say_that_history_is_forgotten() {
+async fn changes_after_expired_history() {
     let (store, rows, _listening) = store().await;
     rows.set(Trouble::Forgetful);
     let changes = store.changes("op", Revision(1), TIMEOUT).await;
@@ -112,7 +112,7 @@
 #[case::silent(Trouble::Silent, true)]
 #[case::lost(Trouble::LoseAnswers, true)]
 #[tokio::test]
-async fn write_tells_what_may_have_happened(#[case] trouble: Trouble, #[case] unknown: bool) {
+async fn write_error_by_trouble(#[case] trouble: Trouble, #[case] unknown: bool) {
     let (store, rows, _listening) = store().await;
     rows.set(trouble);
     match store.write("t/a", Condition::Absent, "x".into()).await {
@@ -123,20 +123,20 @@
 }
 
 #[tokio::test]
-async fn settle_finds_a_write_whose_answer_was_lost() {
+async fn write_with_retry_after_lost_answer() {
     let (store, rows, _listening) = store().await;
     rows.set(Trouble::LoseAnswers);
-    let healed = async {
+    let recovery = async {
         tokio::time::sleep(TIMEOUT / 2).await;
         rows.set(Trouble::None);
     };
-    let settled = write_with_retry(&store, "t/a", Condition::Absent, "x".into());
-    let (settled, ()) = tokio::join!(settled, healed);
-    assert!(matches!(settled, WriteOutcome::Written(_)), "{settled:?}");
+    let outcome = write_with_retry(&store, "t/a", Condition::Absent, "x".into());
+    let (outcome, ()) = tokio::join!(outcome, recovery);
+    assert!(matches!(outcome, WriteOutcome::Written(_)), "{outcome:?}");
 }
 
 #[tokio::test]
-async fn objects_are_written_once() {
+async fn put_existing_object() {
     let (store, _rows, _listening) = store().await;
     assert_eq!(store.get("a b").await.expect("a read"), None);
     for content in ["one", "one"] {
@@ -153,7 +153,7 @@
 #[case::version_of_other_type(r#"{"tableName":"member","key":"5","value":"eA==","ver":"x"}"#)]
 #[case::no_object("17")]
 #[tokio::test]
-async fn scan_holds_the_other_rows_beside_one_that_cannot_be_read(#[case] row: &str) {
+async fn scan_skips_invalid_row(#[case] row: &str) {
     let (store, rows, _listening) = store().await;
     for name in ["member/1", "member/9"] {
         let wrote = store.write(name, Condition::Absent, "x".into()).await;
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn changes_hold_the_other_rows_beside_one_that_cannot_be_read() {
+async fn changes_skip_invalid_row() {
     let (store, rows, _listening) = store().await;
     rows.put_raw(
         "op",
@@ -187,7 +187,7 @@
 }
 
 #[tokio::test]
-async fn scan_goes_on_behind_a_page_that_cannot_be_read() {
+async fn scan_continues_after_invalid_page() {
     let (store, rows, _listening) = store().await;
     for name in ["1", "2", "3", "4"] {
         let raw = format!(r#"{{"tableName":"member","key":"{name}","ver":"x"}}"#);
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -1,4 +1,4 @@
-//! The platform's headers and the operator's document.
+//! Parsing and writing of the platform's headers and the operator's document.
 
 #![allow(missing_docs)]
 
@@ -18,7 +18,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-fn map(pairs: &[(&'static str, &str)]) -> HeaderMap {
+fn header_map(pairs: &[(&'static str, &str)]) -> HeaderMap {
     pairs
         .iter()
         .map(|(name, value)| {
@@ -28,7 +28,7 @@
         .collect()
 }
 
-fn head(headers: HeaderMap, left: Duration) -> CallHead {
+fn call_head(headers: HeaderMap, left: Duration) -> CallHead {
     CallHead {
         attempt: AttemptId::new(1),
         call: CallId::new(1),
@@ -53,7 +53,7 @@
     }
 }
 
-fn from(service: &ServiceName) -> RequestOrigin<'_> {
+fn origin_of(service: &ServiceName) -> RequestOrigin<'_> {
     RequestOrigin {
         service,
         workspace: None,
@@ -74,24 +74,30 @@
     #[case] headers: &[(&'static str, &str)],
     #[case] expected: AnswerMeaning,
 ) {
-    let head = head(map(&[("x-request-id", "r1")]), Duration::from_secs(1));
+    let head = call_head(
+        header_map(&[("x-request-id", "r1")]),
+        Duration::from_secs(1),
+    );
     let status = StatusCode::from_u16(status).expect("a status");
-    let meaning = PlatformProtocol.answer_meaning(&head, status, &map(headers));
+    let meaning = PlatformProtocol.answer_meaning(&head, status, &header_map(headers));
     assert_eq!(meaning, expected);
 }
 
 #[test]
-fn meaning_tells_the_other_server() {
-    let head = head(map(&[("x-request-id", "r1")]), Duration::from_secs(1));
-    let answer = map(&[("x-request-id", "r1"), ("x-instance-id", "i-2")]);
+fn meaning_names_other_server() {
+    let head = call_head(
+        header_map(&[("x-request-id", "r1")]),
+        Duration::from_secs(1),
+    );
+    let answer = header_map(&[("x-request-id", "r1"), ("x-instance-id", "i-2")]);
     let meaning = PlatformProtocol.answer_meaning(&head, StatusCode::MISDIRECTED_REQUEST, &answer);
     let other: ServerId = "i-2".parse().expect("an id");
     assert_eq!(meaning, AnswerMeaning::OtherServer(Some(other)));
 }
 
 #[test]
-fn forward_sets_the_origin_and_drops_what_concerns_one_connection() {
-    let sent = map(&[
+fn forward_sets_origin_and_drops_hop_headers() {
+    let sent = header_map(&[
         ("host", "a.example"),
         ("x-request-id", "r1"),
         ("x-deadline-ms", "5000"),
@@ -103,26 +109,29 @@
         ("x-kept", "1"),
     ]);
     let origin = "own-service".parse().expect("a name");
-    let kept = PlatformProtocol.forward_headers(&sent, from(&origin));
-    let expected = map(&[
+    let forwarded = PlatformProtocol.forward_headers(&sent, origin_of(&origin));
+    let expected = header_map(&[
         ("host", "a.example"),
         ("x-request-id", "r1"),
         ("x-caller-service", "own-service"),
         ("x-kept", "1"),
     ]);
-    assert_eq!(kept, expected);
+    assert_eq!(forwarded, expected);
 }
 
 #[tokio::test(start_paused = true)]
-async fn address_says_what_is_left() {
-    let head = head(map(&[("x-request-id", "r1")]), Duration::from_millis(700));
+async fn add_attempt_sets_time_left() {
+    let head = call_head(
+        header_map(&[("x-request-id", "r1")]),
+        Duration::from_millis(700),
+    );
     tokio::time::advance(Duration::from_millis(200)).await;
     let mut headers = HeaderMap::new();
     let server: ServerId = "i-1".parse().expect("an id");
     PlatformProtocol.add_attempt(&mut headers, &head, Instant::now(), Some(&server));
     assert_eq!(
         headers,
-        map(&[("x-deadline-ms", "500"), ("x-expect-instance", "i-1")])
+        header_map(&[("x-deadline-ms", "500"), ("x-expect-instance", "i-1")])
     );
 }
 
@@ -130,8 +139,12 @@
 #[case::own("9c41", "9c41", None)]
 #[case::onward("9c41.2", "9c41", Some("9c41"))]
 #[case::deeper("9c41.2.7", "9c41", Some("9c41.2"))]
-fn read_takes_the_id_as_a_hint(#[case] id: &str, #[case] root: &str, #[case] parent: Option<&str>) {
-    let facts = |id: &str| {
+fn read_request_derives_parent_from_id(
+    #[case] id: &str,
+    #[case] root: &str,
+    #[case] parent: Option<&str>,
+) {
+    let info = |id: &str| {
         let request = Request::builder()
             .header("x-request-id", id)
             .header("x-deadline-ms", "1200")
@@ -139,12 +152,12 @@
             .expect("a request");
         PlatformProtocol
             .read_request(&request.into_parts().0)
-            .expect("facts")
+            .expect("request info")
     };
-    let read = facts(id);
+    let read = info(id);
     assert_eq!(read.timeout, Some(Duration::from_millis(1200)));
-    assert_eq!(read.root, facts(root).root);
-    assert_eq!(read.parent, parent.map(|parent| facts(parent).call));
+    assert_eq!(read.root, info(root).root);
+    assert_eq!(read.parent, parent.map(|parent| info(parent).call));
 }
 
 fn refusals() -> Vec<Refusal> {
@@ -173,10 +186,10 @@
     refused.chain(lost).collect()
 }
 
-/// 408, 421, 429 and 503 promise that a request has not run and never will;
-/// callers repeat unsafe requests after them.
+/// A status of 408, 421, 429 or 503 promises that a request has not run and never
+/// will; callers repeat unsafe requests after it.
 #[test]
-fn status_promises_only_what_is_true() {
+fn refusal_status_promises_not_run_only_if_true() {
     let promises = [408, 421, 429, 503];
     for refusal in refusals() {
         let status = PlatformProtocol.refusal_status(&refusal).as_u16();
@@ -209,16 +222,16 @@
     #[case] path: &str,
     #[case] expected: Option<&str>,
 ) {
-    let operated = read_document(DOCUMENT.as_bytes()).expect("a document");
-    let route = operated.estate.route(host, path);
+    let declared = read_document(DOCUMENT.as_bytes()).expect("a document");
+    let route = declared.estate.route(host, path);
     assert_eq!(route.map(|route| route.name.as_str()), expected);
 }
 
 #[test]
-fn read_document_makes_classes_of_priorities() {
-    let operated = read_document(DOCUMENT.as_bytes()).expect("a document");
-    assert_eq!(operated.version, Version::new(7));
-    let estate = operated.estate;
+fn read_document_classes_by_priority() {
+    let declared = read_document(DOCUMENT.as_bytes()).expect("a document");
+    assert_eq!(declared.version, Version::new(7));
+    let estate = declared.estate;
     let class = |name: &str| {
         let route = estate.routes.iter().find(|r| r.name.as_str() == name);
         route.expect("a route").class.as_str().to_owned()
@@ -240,8 +253,8 @@
 #[case::unsafe_request("r-b", false)]
 #[case::upload("r-c", false)]
 fn read_document_repeats_only_idempotent_routes(#[case] name: &str, #[case] idempotent: bool) {
-    let operated = read_document(DOCUMENT.as_bytes()).expect("a document");
-    let route = operated
+    let declared = read_document(DOCUMENT.as_bytes()).expect("a document");
+    let route = declared
         .estate
         .routes
         .iter()
@@ -255,8 +268,8 @@
 #[case::not_known("stream", false)]
 fn read_document_repeats_by_kind(#[case] kind: &str, #[case] idempotent: bool) {
     let document = DOCUMENT.replace("upload", kind);
-    let operated = read_document(document.as_bytes()).expect("a document");
-    let mut routes = operated.estate.routes.iter();
+    let declared = read_document(document.as_bytes()).expect("a document");
+    let mut routes = declared.estate.routes.iter();
     let route = routes.find(|route| route.name.as_str() == "r-c");
     assert_eq!(route.expect("a route").idempotent, idempotent);
 }
@@ -265,7 +278,7 @@
 #[case::cut_short(&DOCUMENT[..300])]
 #[case::no_version(r#"{"routes":{}}"#)]
 #[case::no_time(r#"{"version":1,"routes":{"a":{"authority":"a","pathPrefix":"/","routeType":"idempotent","timeoutS":0,"goalS":1,"priority":0,"upstream":"b","attempts":1}}}"#)]
-fn read_document_refuses_what_it_cannot_hold(#[case] text: &str) {
+fn read_document_refuses_invalid(#[case] text: &str) {
     assert!(read_document(text.as_bytes()).is_err());
 }
 
@@ -276,7 +289,7 @@
     }
 }
 
-fn ranked(workspaces: &str) -> bramleymount::declare::Estate {
+fn estate_with(workspaces: &str) -> bramleymount::declare::Estate {
     let route = |name: &str, priority: u32| {
         format!(
             r#""{name}":{{"authority":"a","pathPrefix":"/{name}/","routeType":"idempotent",
@@ -291,8 +304,8 @@
     read_document(text.as_bytes()).expect("a document").estate
 }
 
-/// The classes of `urgent` and `plain` requests by their place in the order.
-fn places(estate: &bramleymount::declare::Estate, workspace: Option<&str>) -> [u8; 2] {
+/// The class ranks of `urgent` and `plain` requests.
+fn ranks(estate: &bramleymount::declare::Estate, workspace: Option<&str>) -> [u8; 2] {
     ["urgent", "plain"].map(|name| {
         let route = estate.routes.iter().find(|r| r.name.as_str() == name);
         let class = &route.expect("the route").class;
@@ -308,22 +321,22 @@
 }
 
 #[test]
-fn workspace_ranks_before_its_route() {
-    let estate = ranked(
+fn workspace_priority_outranks_route() {
+    let estate = estate_with(
         r#","tenants":{"first":{"apiKeys":["a"],"priority":1},
         "second":{"apiKeys":["b"],"priority":5},"none":{"apiKeys":["c"]}}"#,
     );
-    assert_eq!(places(&estate, Some("first")), [0, 1]);
-    assert_eq!(places(&estate, Some("second")), [2, 3]);
-    assert_eq!(places(&estate, Some("none")), [0, 1]);
-    assert_eq!(places(&estate, None), [0, 1]);
-    assert_eq!(places(&ranked(""), None), [0, 1]);
-    assert!(ranked("").workspaces.is_none());
+    assert_eq!(ranks(&estate, Some("first")), [0, 1]);
+    assert_eq!(ranks(&estate, Some("second")), [2, 3]);
+    assert_eq!(ranks(&estate, Some("none")), [0, 1]);
+    assert_eq!(ranks(&estate, None), [0, 1]);
+    assert_eq!(ranks(&estate_with(""), None), [0, 1]);
+    assert!(estate_with("").workspaces.is_none());
 }
 
 #[test]
-fn workspace_rates_of_zero_or_none_bind_nothing() {
-    let estate = ranked(
+fn workspace_rate_of_zero_or_none_is_no_limit() {
+    let estate = estate_with(
         r#","tenants":{"a":{"apiKeys":["a"],"ratePerS":2.5,"burst":4},
         "b":{"apiKeys":["b"],"ratePerS":0,"burst":4},"c":{"apiKeys":["c"]}}"#,
     );
@@ -349,7 +362,7 @@
 #[case::empty(&[""], RequestedRate::Unreadable)]
 #[case::twice(&["30", "8"], RequestedRate::Some(Rate::per_second(8.0)))]
 #[case::once_readable(&["some", "8"], RequestedRate::Some(Rate::per_second(8.0)))]
-fn notice_reads_the_rate(#[case] values: &[&'static str], #[case] expected: RequestedRate) {
+fn read_notice_rate(#[case] values: &[&'static str], #[case] expected: RequestedRate) {
     let mut headers = HeaderMap::new();
     for value in values {
         headers.append("server-limit", HeaderValue::from_static(value));
@@ -362,10 +375,7 @@
 #[case::said("1", true)]
 #[case::not("0", false)]
 #[case::other("yes", false)]
-fn notice_reads_that_the_server_leaves(
-    #[case] value: impl Into<Option<&'static str>>,
-    #[case] expected: bool,
-) {
+fn read_notice_leaving(#[case] value: impl Into<Option<&'static str>>, #[case] expected: bool) {
     let mut headers = HeaderMap::new();
     if let Some(value) = value.into() {
         headers.insert("server-leaving", HeaderValue::from_static(value));
