--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -1,34 +1,34 @@
-//! What a caller receives.
+//! Answers to callers.
 
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response};
 
-use super::header::{REASON, TICKET, VERDICT};
+use super::header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
 use crate::call::{Protocol, Refusal, Reply, strip_hop_headers};
 use crate::model::{CallId, OnceKey, Verdict};
 use crate::web::{CallerAnswer, Payload, caller_body, caller_text};
 
-/// Marks an answer that was kept from an earlier run of the same key.
-const STORED_ANSWER: HeaderName = HeaderName::from_static("bramleymount-kept");
+/// Marks an answer that was stored by an earlier run of the same key.
+const STORED_ANSWER_HEADER: HeaderName = HeaderName::from_static("bramleymount-kept");
 
-/// Makes the answers to one request.
+/// Builds the answers to one request.
 pub(super) struct AnswerBuilder<'r> {
     protocol: &'r dyn Protocol,
     request: &'r HeaderMap,
 }
 
 impl<'r> AnswerBuilder<'r> {
-    /// Prepares to answer a request with these headers.
+    /// Creates a builder for a request with the given headers.
     pub(super) fn new(protocol: &'r dyn Protocol, request: &'r HeaderMap) -> Self {
         Self { protocol, request }
     }
 
-    /// Returns the id by which the caller knows the request.
+    /// Returns the caller's id of the request.
     pub(super) fn id(&self) -> &'r str {
         self.protocol.request_id(self.request)
     }
 
-    /// Gives the backend server's own answer.
+    /// Builds the answer of the backend server.
     pub(super) fn reply(&self, call: CallId, reply: Reply) -> CallerAnswer {
         let Reply { head, body } = reply;
         let streamed = matches!(body, Payload::Stream { .. });
@@ -39,14 +39,14 @@
             answer.headers_mut().remove(CONTENT_LENGTH);
         }
         if head.from_store {
-            insert_header(&mut answer, STORED_ANSWER, "true");
+            insert_header(&mut answer, STORED_ANSWER_HEADER, "true");
         }
         self.protocol
             .add_call_id(answer.headers_mut(), call, self.request);
         answer
     }
 
-    /// Says why there is no answer, and what that means.
+    /// Builds a refusal, with its reason and whether the call may have run.
     pub(super) fn refusal(
         &self,
         call: Option<CallId>,
@@ -63,8 +63,8 @@
         text.push('\n');
         let status = self.protocol.refusal_status(refusal);
         let mut answer = caller_text(status, "text/plain; charset=utf-8", text);
-        insert_header(&mut answer, VERDICT, verdict.as_str());
-        insert_header(&mut answer, REASON, reason.as_str());
+        insert_header(&mut answer, VERDICT_HEADER, verdict.as_str());
+        insert_header(&mut answer, REASON_HEADER, reason.as_str());
         if let Some(call) = call {
             self.protocol
                 .add_call_id(answer.headers_mut(), call, self.request);
@@ -79,7 +79,7 @@
         if let Some(ticket) = ticket
             && verdict == Verdict::NotRun
         {
-            insert_header(&mut answer, TICKET, &ticket.to_string());
+            insert_header(&mut answer, TICKET_HEADER, &ticket.to_string());
         }
         answer
     }
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -1,4 +1,4 @@
-//! What the front knows of callers' times and of the room for them.
+//! Detection of callers' retries, and retry times of refused callers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,33 +14,35 @@
 use crate::policy::admission::Shed;
 use crate::policy::front::{AdmittedShare, RefusedCaller, RetryDetector, backoff, boosted_root};
 
-/// Most routes, and most classes of services, of which anything is known; the
-/// names of earlier configurations are dropped when there are more.
+/// Maximum number of routes, and of classes of services, that state is kept for.
+/// A full map is cleared, which drops the names of earlier configurations.
 const MAX_ENTRIES: usize = 4096;
 
-/// What the front knows of callers' times and of the room for them.
+/// Detected retries by route, and admitted shares by service and class.
 #[derive(Default)]
 pub(super) struct FrontState {
-    retries: Mutex<HashMap<RouteName, RetryDetector>>,
+    retry_detectors: Mutex<HashMap<RouteName, RetryDetector>>,
     admitted_shares: Mutex<HashMap<(ServiceName, ClassRank), AdmittedShare>>,
 }
 
 impl FrontState {
-    /// Takes note of a request, and returns how long its caller has waited if it
-    /// is a retry.
+    /// Records a request, and returns how long its caller has waited if it is a
+    /// retry.
     fn observe(&self, caller_time: &CallerTime) -> Option<Duration> {
         let now = caller_time.arrived_at;
-        let mut retries = self.retries.lock();
-        if !retries.contains_key(&caller_time.route) && retries.len() >= MAX_ENTRIES {
-            retries.clear();
+        let mut retry_detectors = self.retry_detectors.lock();
+        if !retry_detectors.contains_key(&caller_time.route) && retry_detectors.len() >= MAX_ENTRIES
+        {
+            retry_detectors.clear();
         }
-        let detector = retries
+        let detector = retry_detectors
             .entry(caller_time.route.clone())
             .or_insert_with(|| RetryDetector::new(now));
         detector.observe(now, caller_time.timeout)
     }
 
-    /// Takes note of the level that a service demands of a class.
+    /// Records the level that a service demands of a class, and returns the
+    /// admitted share.
     fn record_level(
         &self,
         now: Instant,
@@ -53,16 +55,16 @@
         if !admitted_shares.contains_key(&key) && admitted_shares.len() >= MAX_ENTRIES {
             admitted_shares.clear();
         }
-        let admitted = admitted_shares.entry(key).or_default();
-        admitted.record(now, rank, level);
-        *admitted
+        let admitted_share = admitted_shares.entry(key).or_default();
+        admitted_share.record(now, rank, level);
+        *admitted_share
     }
 }
 
 impl Context {
-    /// Takes note of the time that a caller has, and puts one who comes back
-    /// before others of its class.
-    pub(super) fn boost_returning(&self, accepted: &mut AcceptedRequest) {
+    /// Records the timeout of a caller, and boosts the priority of a retry within
+    /// its class.
+    pub(super) fn boost_retry(&self, accepted: &mut AcceptedRequest) {
         if !accepted.front_options.uses_time() || accepted.parent.is_some() {
             return;
         }
@@ -81,13 +83,13 @@
         }
     }
 
-    /// Tells a caller that is refused for want of room when to come back.
+    /// Sets when a caller that is refused because of overload may retry.
     pub(super) fn set_backoff(&self, accepted: &AcceptedRequest, refusal: &mut Refusal) {
         let sets_backoff = accepted.front_options.backoff
             && accepted.parent.is_none()
             && refusal.verdict() == Verdict::NotRun
             && refusal.reason().is_overload()
-            // The server's rate says when there is room.
+            // These get their retry time from the server's requested rate.
             && refusal.reason() != Reason::Shed(Shed::Limited);
         let (true, Some(caller_time)) = (sets_backoff, &accepted.caller_time) else {
             return;
@@ -96,25 +98,25 @@
         let (service, rank) = (&accepted.head.service, accepted.head.priority.rank());
         let table = self.shared.targets.table(service);
         let level = table.lock().demand(now).of(rank);
-        let admitted = self.front.record_level(now, service, rank, level);
+        let admitted_share = self.front.record_level(now, service, rank, level);
         let caller = RefusedCaller {
             time_left: caller_time.time_left(now),
             slack: caller_time.slack,
         };
-        let Some(time) = backoff(caller, &admitted, &mut rand::rng()) else {
+        let Some(time) = backoff(caller, &admitted_share, &mut rand::rng()) else {
             return;
         };
         refusal.retry_after = Some(time);
         self.shared.metrics.count("callers_told_when");
         if self.shared.log_limiter.try_take() {
-            spdlog::info!("caller told when to return", kv: {
+            spdlog::info!("refused call with a retry time", kv: {
                 call = accepted.head.call.to_string().as_str(),
                 service = service.as_str(),
                 class = accepted.head.class.as_str(),
                 retry_after_ms = time.as_millis() as u64,
                 left_ms = caller.time_left.as_millis() as u64,
-                open = admitted.current(),
-                trend = admitted.trend().as_str()
+                open = admitted_share.current(),
+                trend = admitted_share.trend().as_str()
             });
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes calls from callers and from the own backend server.
+//! The entry: accepts calls from callers and from the own backend server.
 
 mod accept;
 mod answer;
@@ -22,5 +22,5 @@
 
 pub use crate::call::{ATTEMPT_HEADER, TIMEOUT_HEADER};
 pub use handler::Entry;
-pub use header::{REASON, TICKET, VERDICT};
+pub use header::{REASON_HEADER, TICKET_HEADER, VERDICT_HEADER};
 pub use serve::serve_callers;
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Between the messages of the peer protocol and the types of a call.
+//! Conversions between messages of the peer protocol and the types of a call.
 
 use std::time::Duration;
 
@@ -21,14 +21,13 @@
 };
 use crate::web::Payload;
 
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 128;
 
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Writes headers.
 pub(super) fn encode_headers(headers: &HeaderMap) -> Vec<wire::Header> {
     headers
         .iter()
@@ -39,7 +38,11 @@
         .collect()
 }
 
-/// Reads headers.
+/// Decodes headers.
+///
+/// # Errors
+///
+/// Fails if there are too many headers, or one is invalid.
 pub(super) fn decode_headers(headers: Vec<wire::Header>) -> Result<HeaderMap, Error> {
     if headers.len() > MAX_HEADERS {
         return Err(Error::value("message", "it has too many headers"));
@@ -54,7 +57,7 @@
     Ok(map)
 }
 
-/// Writes the head of a call to `instance`, without its headers and its body.
+/// Encodes the head of a call to `instance`, without its headers and body.
 pub(super) fn encode_call(
     instance: Instance,
     attempt: AttemptId,
@@ -99,8 +102,12 @@
     }
 }
 
-/// Reads the head of a call; a class that is not declared here has the rank
-/// that the sender gave it.
+/// Decodes the head of a call. A class that is not declared here keeps the rank
+/// given by the sender.
+///
+/// # Errors
+///
+/// Fails if a field has an invalid value.
 pub(super) fn decode_call(
     head: wire::CallHead,
     estate: Option<&Estate>,
@@ -157,7 +164,7 @@
     })
 }
 
-/// Writes the head of an answer, without its headers.
+/// Encodes the head of an answer, without its headers.
 pub(super) fn encode_reply(
     attempt: AttemptId,
     head: &ReplyHead,
@@ -185,10 +192,14 @@
     }
 }
 
-/// Reads the head of an answer.
+/// Decodes the head of an answer, and returns it with the body.
+///
+/// # Errors
+///
+/// Fails if the digest does not match, or a field has an invalid value.
 pub(super) fn decode_reply(head: wire::AnswerHead) -> Result<(ReplyHead, Bytes), Error> {
     if !head.streamed && xxh3_64(&head.body) != head.digest {
-        return Err(Error::value("answer", "its digest does not fit"));
+        return Err(Error::value("answer", "its digest does not match"));
     }
     let status = u16::try_from(head.status)
         .ok()
@@ -216,9 +227,8 @@
     Ok((reply, head.body))
 }
 
-/// Writes a refusal.
 pub(super) fn encode_refusal(attempt: AttemptId, refusal: &Refusal) -> wire::Refusal {
-    let news = refusal.guard_status.unwrap_or_default();
+    let guard_status = refusal.guard_status.unwrap_or_default();
     wire::Refusal {
         attempt: encode_id(attempt.get()),
         verdict: refusal.verdict().to_string(),
@@ -227,30 +237,30 @@
         retry_after_ms: refusal.retry_after.map_or(0, millis),
         of_key: refusal.scope() == VerdictScope::Key,
         account: refusal.returned_retries.get(),
-        level: u32::from(news.demand.level.get()),
-        below: u32::from(news.demand.downstream.get()),
-        classes: news.demand.downstream_classes.bits(),
-        load: news.load,
-        faults: u32::from(news.fault_share.get()),
-        leaving: news.leaving,
-        told: news.notice.as_ref().map(encode_notice),
-        room_ms: encode_rate_delay(news.rate_delay),
+        level: u32::from(guard_status.demand.level.get()),
+        below: u32::from(guard_status.demand.downstream.get()),
+        classes: guard_status.demand.downstream_classes.bits(),
+        load: guard_status.load,
+        faults: u32::from(guard_status.fault_share.get()),
+        leaving: guard_status.leaving,
+        told: guard_status.notice.as_ref().map(encode_notice),
+        room_ms: encode_rate_delay(guard_status.rate_delay),
         crash: refusal.crash.map_or(0, CrashId::get),
     }
 }
 
-/// Repeats a refusal that the other side sent.
+/// Decodes a refusal sent by the other daemon, and relays it.
 pub(super) fn decode_refusal(attempt: Attempt<Sent>, message: &wire::Refusal) -> Refusal {
-    let parts = decode_attempt_id(&message.attempt).and_then(|of| {
+    let parts = decode_attempt_id(&message.attempt).and_then(|attempt_id| {
         let verdict: Verdict = message.verdict.parse()?;
         let reason: Reason = message.reason.parse()?;
-        Ok((of, verdict, reason))
+        Ok((attempt_id, verdict, reason))
     });
-    let (of, verdict, reason) = match parts {
+    let (attempt_id, verdict, reason) = match parts {
         Ok(parts) => parts,
         Err(e) => return attempt.abandon(Reason::InvalidAnswer, e.to_string()),
     };
-    let mut refusal = attempt.relay_refusal(of, verdict, reason, &message.detail);
+    let mut refusal = attempt.relay_refusal(attempt_id, verdict, reason, &message.detail);
     if refusal.reason() == reason {
         if message.of_key {
             refusal = refusal.with_key_scope();
