--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -36,7 +36,7 @@
     StopParts, gossip, keep_member_row, keep_ownership, keep_store_role, keep_suspect_rows,
     log_load, poll_configuration, refresh_targets, report_demand, stop, watch_lease,
 };
-use crate::web::{Listening, Running, caller_text, listen};
+use crate::web::{HttpListener, ThreadedServer, caller_text, listen};
 
 /// Timeout of one request to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -48,9 +48,9 @@
 pub struct Daemon {
     parts: StopParts,
     tasks: JoinSet<()>,
-    callers: Listening,
-    operators: Running,
-    platform_listeners: Vec<Listening>,
+    callers: HttpListener,
+    operators: ThreadedServer,
+    platform_listeners: Vec<HttpListener>,
     stop_peers: oneshot::Sender<()>,
 }
 
@@ -161,7 +161,7 @@
     ///
     /// Calls that have not ended when `interrupt` resolves are cut off.
     pub async fn stop(mut self, interrupt: impl Future<Output = ()>) -> bool {
-        self.callers.close_kept();
+        self.callers.disable_keep_alive();
         let drained = stop(&self.parts, interrupt).await;
         self.platform_listeners.clear();
         self.tasks.abort_all();
@@ -183,7 +183,7 @@
     address: SocketAddr,
     shared: Arc<Shared>,
     guard: Arc<Guard>,
-) -> Result<Listening, Error> {
+) -> Result<HttpListener, Error> {
     listen(address, move |_, _| {
         let gauges = Gauges {
             load: guard.gate().load(),
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -62,11 +62,11 @@
     shared: &Shared,
 ) -> Result<AcceptedRequest, Rejection> {
     let bad_request = |e| reject(Reason::BadRequest, e);
-    let facts = shared.protocol.read_request(parts).map_err(bad_request)?;
+    let info = shared.protocol.read_request(parts).map_err(bad_request)?;
     let matched = match_request(parts, estate, &shared.route_splits)?;
-    let parent = facts.parent.and_then(|id| shared.parent_calls.get(id));
+    let parent = info.parent.and_then(|id| shared.parent_calls.get(id));
     let declared_caller = estate.caller(from);
-    let workspace = caller_workspace(&facts, estate, &matched, parent.as_deref())?;
+    let workspace = caller_workspace(&info, estate, &matched, parent.as_deref())?;
     let (rank, class) = match (&parent, workspace) {
         (Some(parent), _) => estate.class(parent.class.as_str()),
         (None, Some(workspace)) => {
@@ -101,7 +101,7 @@
     let head = call_head(
         parts,
         arrived_at,
-        &facts,
+        &info,
         &matched,
         (rank, class),
         parent.as_deref(),
@@ -136,14 +136,14 @@
         is_protected: estate
             .last_protected_rank()
             .is_some_and(|last| rank <= last),
-        attempt_number: facts.attempt,
+        attempt_number: info.attempt,
         caller,
         workspace: workspace.map(|workspace| CallerWorkspace {
             name: workspace.name.clone(),
             limit: workspace.limit,
         }),
         front_options: shared.config.front.options(),
-        caller_time: CallerTime::new(&facts, &matched),
+        caller_time: CallerTime::new(&info, &matched),
     })
 }
 
@@ -153,7 +153,7 @@
 /// their calls go to public ones; otherwise they are recognised by the id of the
 /// parent call, which nobody else can guess.
 fn caller_workspace<'e>(
-    facts: &RequestInfo,
+    info: &RequestInfo,
     estate: &'e Estate,
     matched: &RouteMatch<'_>,
     parent: Option<&ParentCall>,
@@ -168,7 +168,7 @@
     if is_exempt {
         return Ok(None);
     }
-    let Some(key) = &facts.key else {
+    let Some(key) = &info.key else {
         let detail = "send the API key of a workspace";
         return Err(reject(Reason::UnknownKey, detail));
     };
@@ -189,13 +189,13 @@
 fn call_head(
     parts: &Parts,
     arrived_at: Instant,
-    facts: &RequestInfo,
+    info: &RequestInfo,
     matched: &RouteMatch<'_>,
     (rank, class): (ClassRank, &Class),
     parent: Option<&ParentCall>,
 ) -> Result<CallHead, Rejection> {
     let max_timeout = matched.route.map_or(class.deadline, |route| route.timeout);
-    let timeout = match (facts.timeout, matched.route) {
+    let timeout = match (info.timeout, matched.route) {
         (Some(timeout), Some(_)) => timeout.min(max_timeout.get()),
         (Some(timeout), None) => timeout,
         (None, _) => max_timeout.get(),
@@ -203,7 +203,7 @@
     let deadline = arrived_at + timeout;
     let root = match parent {
         Some(parent) => parent.root,
-        None => facts.root.unwrap_or_else(RootId::random),
+        None => info.root.unwrap_or_else(RootId::random),
     };
     let depth = parent.map_or(Depth::default(), |parent| parent.depth.next());
     if depth > Depth::MAX {
@@ -215,7 +215,7 @@
         .map_or("/", |target| target.as_str());
     Ok(CallHead {
         attempt: AttemptId::new(0),
-        call: facts.call,
+        call: info.call,
         root,
         service: matched.service.name.clone(),
         caller: None,
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use crate::web::{Chunks, Cut, Payload, SMALL_BODY};
+use crate::web::{Chunks, IncompleteBody, MAX_WHOLE_BODY, Payload};
 
 /// Maximum body size of a once call, which is buffered whole.
 const MAX_ONCE_BODY_BYTES: usize = 1024 * 1024;
@@ -19,7 +19,7 @@
     /// The body is too large.
     TooLarge,
     /// The body ended early.
-    Truncated,
+    Incomplete,
 }
 
 /// Reads a body: whole if it is small or must be buffered, else as a stream.
@@ -38,7 +38,7 @@
     let limit = if must_buffer {
         MAX_ONCE_BODY_BYTES
     } else {
-        SMALL_BODY
+        MAX_WHOLE_BODY
     };
     let large = length.is_some_and(|n| n > limit as u64);
     if large && must_buffer {
@@ -50,7 +50,7 @@
     while !large && buffered.len() <= limit {
         match next_chunk(&mut body).await {
             None => return check_length(buffered.freeze(), length),
-            Some(Err(_)) => return Err(BodyError::Truncated),
+            Some(Err(_)) => return Err(BodyError::Incomplete),
             Some(Ok(chunk)) => buffered.extend_from_slice(&chunk),
         }
     }
@@ -78,7 +78,7 @@
 
 fn check_length(bytes: Bytes, length: Option<u64>) -> Result<Payload, BodyError> {
     match length {
-        Some(length) if length != bytes.len() as u64 => Err(BodyError::Truncated),
+        Some(length) if length != bytes.len() as u64 => Err(BodyError::Incomplete),
         _ => Ok(Payload::Whole(bytes)),
     }
 }
@@ -92,7 +92,7 @@
     buffered: Bytes,
     mut body: Incoming,
     length: Option<u64>,
-    sender: mpsc::Sender<Result<Bytes, Cut>>,
+    sender: mpsc::Sender<Result<Bytes, IncompleteBody>>,
 ) {
     let mut received_bytes = buffered.len() as u64;
     if !buffered.is_empty() && sender.send(Ok(buffered)).await.is_err() {
@@ -100,12 +100,12 @@
     }
     while let Some(chunk) = next_chunk(&mut body).await {
         let Ok(chunk) = chunk else {
-            let _ = sender.send(Err(Cut)).await;
+            let _ = sender.send(Err(IncompleteBody)).await;
             return;
         };
         received_bytes += chunk.len() as u64;
         if received_bytes > MAX_BODY_BYTES {
-            let _ = sender.send(Err(Cut)).await;
+            let _ = sender.send(Err(IncompleteBody)).await;
             return;
         }
         if !chunk.is_empty() && sender.send(Ok(chunk)).await.is_err() {
@@ -113,7 +113,7 @@
         }
     }
     let end = match length {
-        Some(length) if length != received_bytes => Err(Cut),
+        Some(length) if length != received_bytes => Err(IncompleteBody),
         _ => Ok(Bytes::new()),
     };
     let _ = sender.send(end).await;
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -161,7 +161,7 @@
             }
             self.retries += 1;
             let journal = &self.context.shared.journal;
-            let reason = StepDetail::Word(failed.reason().as_str());
+            let reason = StepDetail::Reason(failed.reason().as_str());
             journal.record(self.head().call, CallStep::Retried, reason);
             last = Some(failed);
         }
@@ -193,7 +193,7 @@
             // Boxed, so that calls to other daemons don't reserve space for it.
             Box::pin(self.context.guard.serve(call)).await
         } else {
-            let message = OutgoingCall {
+            let outgoing = OutgoingCall {
                 head: self.head(),
                 granted_retries: grant.retries,
                 body,
@@ -202,7 +202,7 @@
                 notice,
                 may_wait: self.may_wait,
             };
-            peer::send(&self.context.pool, target, attempt, message).await
+            peer::send(&self.context.pool, target, attempt, outgoing).await
         };
         if let Some(crash) = result.as_ref().err().and_then(|refusal| refusal.crash) {
             self.context
@@ -218,14 +218,14 @@
     fn local_call(
         &self,
         attempt: AttemptId,
-        account: Retries,
+        granted_retries: Retries,
         body: Payload,
         notice: Option<RelayedNotice>,
     ) -> Call {
         Call {
             head: CallHead {
                 attempt,
-                granted_retries: account,
+                granted_retries,
                 notice,
                 may_wait: self.may_wait,
                 ..self.head().clone()
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -12,17 +12,17 @@
 use super::arrival::Arrival;
 use super::route_match::may_repeat;
 use crate::error::Error;
-use crate::web::{Listening, Serve, Work, listen_ahead};
+use crate::web::{AnswerFuture, HttpListener, RequestHandler, listen_pipelined};
 
 /// Serves callers over HTTP.
 ///
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub async fn serve_callers(entry: Arc<Entry>) -> Result<Listening, Error> {
+pub async fn serve_callers(entry: Arc<Entry>) -> Result<HttpListener, Error> {
     let config = &entry.context.shared.config;
     let (address, ahead) = (config.listen.callers, config.max_pipelined);
-    listen_ahead(address, ahead, CallerService(entry)).await
+    listen_pipelined(address, ahead, CallerService(entry)).await
 }
 
 /// Handles the requests of callers.
@@ -49,14 +49,19 @@
         }
     }
 
-    fn start(&self, arrival: Arrival, from: SocketAddr) -> Work {
+    fn start(&self, arrival: Arrival, from: SocketAddr) -> AnswerFuture {
         // Boxed at once: the future is large and would be copied three times.
         Box::pin(Arc::clone(&self.0).handle(arrival, from.ip()))
     }
 }
 
-impl Serve for CallerService {
-    fn serve(&self, request: Request<Incoming>, arrived_at: Instant, from: SocketAddr) -> Work {
+impl RequestHandler for CallerService {
+    fn serve(
+        &self,
+        request: Request<Incoming>,
+        arrived_at: Instant,
+        from: SocketAddr,
+    ) -> AnswerFuture {
         let (parts, body) = request.into_parts();
         let body = Some(body);
         self.start(
@@ -69,7 +74,12 @@
         )
     }
 
-    fn begin(&self, parts: Parts, arrived_at: Instant, from: SocketAddr) -> Option<Work> {
+    fn start_early(
+        &self,
+        parts: Parts,
+        arrived_at: Instant,
+        from: SocketAddr,
+    ) -> Option<AnswerFuture> {
         if !self.may_start(&parts) {
             return None;
         }
--- /dev/null
+++ b/src/web/caller_connection.rs
@@ -0,0 +1,152 @@
+//! One connection of a caller.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use http::header::CONNECTION;
+use http::{HeaderValue, Request, Response, StatusCode, Version};
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use parking_lot::Mutex;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::task::JoinError;
+
+use super::early_request::EarlyRequest;
+use super::pipeline::Pipeline;
+use super::pipelined_body::PipelinedBody;
+use super::pipelined_stream::PipelinedStream;
+use super::{AnswerFuture, CallerAnswer, MAX_HEAD, MAX_HEADERS, RequestHandler, caller_text};
+
+/// Bytes of a header line besides name and value.
+const HEADER_LINE_OVERHEAD: usize = 4;
+/// Time after which a connection is closed that is idle or whose next head is
+/// incomplete. Longer than callers keep idle connections, so that a request rarely
+/// arrives while the connection closes.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time for which a caller's remaining bytes are read after its last answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Source of the answer to a request.
+enum AnswerSource {
+    HeadTooLarge,
+    Early(EarlyRequest),
+    Handler(AnswerFuture),
+}
+
+/// One connection of a caller.
+#[derive(Clone)]
+pub(super) struct CallerConnection<S> {
+    pub(super) from: SocketAddr,
+    pub(super) handler: S,
+    pub(super) pipeline: Arc<Mutex<Pipeline>>,
+    /// Becomes true when connections are to close after their next answer.
+    pub(super) closing: watch::Receiver<bool>,
+}
+
+impl<S: RequestHandler> CallerConnection<S> {
+    /// Serves the caller until either side closes the connection.
+    pub(super) async fn run(self, stream: TcpStream) {
+        if let Err(e) = stream.set_nodelay(true) {
+            spdlog::debug!("cannot set nodelay", kv: { cause = e.to_string().as_str() });
+        }
+        let pipelined = PipelinedStream::new(stream, self.clone());
+        let service = service_fn(|request| {
+            let source = self.answer_source(request);
+            Box::pin(self.answer(source))
+        });
+        let mut connection = http1::Builder::new()
+            .timer(TokioTimer::new())
+            .header_read_timeout(IDLE_TIMEOUT)
+            .max_headers(MAX_HEADERS)
+            .max_buf_size(MAX_HEAD)
+            .serve_connection(TokioIo::new(pipelined), service);
+        let served = (&mut connection).await;
+        if let Err(e) = served {
+            spdlog::debug!("connection of a caller failed", kv: { cause = e.to_string().as_str() });
+        }
+        self.pipeline.lock().end_connection();
+        let stream = connection.into_parts().io.into_inner().into_inner();
+        if tokio::time::timeout(LINGER_TIMEOUT, linger(stream))
+            .await
+            .is_err()
+        {
+            spdlog::debug!("caller still sends after the last answer; closing its connection");
+        }
+    }
+
+    /// Selects the source of the answer once a request becomes the current one.
+    fn answer_source(&self, request: Request<Incoming>) -> AnswerSource {
+        let is_large = head_size(&request) > MAX_HEAD;
+        let is_last = is_large || is_last(&request);
+        let (arrived_at, early) = self.pipeline.lock().record_current(&request, is_last);
+        match early {
+            _ if is_large => AnswerSource::HeadTooLarge,
+            Some(early) => AnswerSource::Early(early),
+            None => AnswerSource::Handler(self.handler.serve(request, arrived_at, self.from)),
+        }
+    }
+
+    async fn answer(&self, source: AnswerSource) -> Result<Response<PipelinedBody>, JoinError> {
+        let is_large = matches!(source, AnswerSource::HeadTooLarge);
+        let mut answer = match source {
+            AnswerSource::HeadTooLarge => head_too_large(),
+            AnswerSource::Early(early) => early.await?,
+            AnswerSource::Handler(answer) => answer.await,
+        };
+        let mut pipeline = self.pipeline.lock();
+        // Requests started early are still answered, since they may have been
+        // forwarded.
+        if is_large || *self.closing.borrow() && !pipeline.has_early() {
+            pipeline.end_connection();
+            let close = HeaderValue::from_static("close");
+            answer.headers_mut().insert(CONNECTION, close);
+        }
+        drop(pipeline);
+        Ok(answer.map(|body| PipelinedBody::new(body, Arc::clone(&self.pipeline))))
+    }
+}
+
+/// Returns whether this is the last request on its connection.
+fn is_last<B>(request: &Request<B>) -> bool {
+    let values = request.headers().get_all(CONNECTION);
+    let has_close = values.iter().any(|value| {
+        let text = value.to_str().unwrap_or_default();
+        text.split(',')
+            .any(|word| word.trim().eq_ignore_ascii_case("close"))
+    });
+    has_close || request.version() != Version::HTTP_11
+}
+
+/// Returns the approximate size of the head of a request, in bytes; the library's
+/// own limit applies to what it reads at once, which may be more.
+fn head_size<B>(request: &Request<B>) -> usize {
+    let target = request.uri().path_and_query();
+    let headers = request.headers().iter();
+    let lines: usize = headers
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD)
+        .sum();
+    target.map_or(0, |target| target.as_str().len()) + lines
+}
+
+fn head_too_large() -> CallerAnswer {
+    let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
+    caller_text(
+        status,
+        "text/plain; charset=utf-8",
+        "the head is larger than 32 KiB\n",
+    )
+}
+
+/// Reads and discards what the caller still sends after the last answer.
+///
+/// Closing with unread bytes would reset the connection, and the caller could lose
+/// the last answer.
+async fn linger(mut stream: TcpStream) {
+    let mut rest = [0; 4096];
+    while matches!(stream.read(&mut rest).await, Ok(count) if count > 0) {}
+}
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -1,4 +1,4 @@
-//! Asking by HTTP.
+//! An HTTP client.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,106 +10,108 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-use super::dial::alive_or_closed;
+use super::dialer::set_keepalive;
 
-/// How long an idle connection is kept; short, since a connection that
-/// something between has forgotten fails the next request.
-const IDLE: Duration = Duration::from_secs(5);
-/// How long connecting may take.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time after which an idle connection is closed; short, since the next request
+/// fails on a connection that a middlebox has dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time within which a connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an answer did not come.
+/// A request without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientError {
-    /// No connection was made; nothing was sent.
+    /// No connection was established; nothing was sent.
     Connect(Box<str>),
-    /// The request may have arrived; no whole answer came.
-    Lost(Box<str>),
+    /// The request may have arrived, but no complete answer came back.
+    NoAnswer(Box<str>),
 }
 
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect(cause) => write!(f, "cannot connect: {cause}"),
-            Self::Lost(cause) => write!(f, "no whole answer: {cause}"),
+            Self::NoAnswer(cause) => write!(f, "no complete answer: {cause}"),
         }
     }
 }
 
 impl std::error::Error for ClientError {}
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// A client for small requests with whole answers.
+/// A client that reads each answer whole.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
     timeout: Duration,
-    limit: usize,
+    max_size: usize,
 }
 
 impl Client {
-    /// Makes a client; answers may have at most `limit` bytes and take
-    /// `timeout`.
-    pub fn new(timeout: Duration, limit: usize) -> Self {
+    /// Creates a client; an answer may have at most `max_size` bytes and must be
+    /// complete within `timeout`.
+    pub fn new(timeout: Duration, max_size: usize) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT.min(timeout)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT.min(timeout)));
         connector.set_nodelay(true);
-        alive_or_closed(&mut connector);
+        set_keepalive(&mut connector);
         let pool = Pool::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_max_idle_per_host(64)
             .build(connector);
         Self {
             pool,
             timeout,
-            limit,
+            max_size,
         }
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete answer.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have arrived.
+    /// Fails without a complete answer; the error says whether the request may have
+    /// arrived.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Answer, ClientError> {
         self.send_within(request, self.timeout).await
     }
 
-    /// Sends a request and waits for the whole answer, for `timeout` at most.
+    /// Sends a request and waits for the complete answer, for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have arrived.
+    /// Fails without a complete answer; the error says whether the request may have
+    /// arrived.
     pub async fn send_within(
         &self,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Answer, ClientError> {
-        let whole = async {
+        let exchange = async {
             let answer = self.pool.request(request).await.map_err(|e| {
-                let cause = chain(&e);
+                let cause = error_chain(&e);
                 if e.is_connect() {
                     ClientError::Connect(cause)
                 } else {
-                    ClientError::Lost(cause)
+                    ClientError::NoAnswer(cause)
                 }
             })?;
             let (head, body) = answer.into_parts();
-            let body = Limited::new(body, self.limit)
+            let body = Limited::new(body, self.max_size)
                 .collect()
                 .await
-                .map_err(|e| ClientError::Lost(e.to_string().into()))?
+                .map_err(|e| ClientError::NoAnswer(e.to_string().into()))?
                 .to_bytes();
             Ok(Answer {
                 status: head.status,
@@ -117,14 +119,14 @@
                 body,
             })
         };
-        match tokio::time::timeout(timeout, whole).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::Lost("timeout".into())),
+            Err(_) => Err(ClientError::NoAnswer("timeout".into())),
         }
     }
 }
 
-fn chain(error: &dyn std::error::Error) -> Box<str> {
+fn error_chain(error: &dyn std::error::Error) -> Box<str> {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- /dev/null
+++ b/src/web/connection_pool.rs
@@ -0,0 +1,239 @@
+//! Pool of connections to one address, each of which carries one request at a
+//! time.
+//!
+//! Each call to the backend server goes through it. Compared with the library's
+//! general pool it saves each request a spawned task, a race between waiting and
+//! connecting, and a lookup by host.
+
+use std::collections::VecDeque;
+use std::fmt;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::header::HOST;
+use http::{HeaderMap, HeaderName, HeaderValue, Request, Response};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper_util::rt::TokioIo;
+use parking_lot::Mutex;
+use tokio::time::Instant;
+
+use super::Dialer;
+
+/// Maximum size of a connection's buffer, in bytes; the head of an answer must fit
+/// into it, a body need not.
+pub const MAX_BUFFER: usize = 64 * 1024;
+
+/// Header that says how long the server keeps an idle connection.
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+/// Share of that time during which a connection is reused, so that the server
+/// doesn't close it while a request is on its way.
+const REUSE_SHARE: f64 = 0.8;
+
+/// Returns how long the server keeps the connection once it is idle.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
+    let mut parts = text.split(',').map(str::trim);
+    let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
+    seconds.parse().ok().map(Duration::from_secs)
+}
+
+/// A request without an answer.
+#[derive(Debug)]
+pub enum RequestError {
+    /// No connection was established; nothing was sent.
+    Connect(std::io::Error),
+    /// The request may have arrived, but no answer came back.
+    NoAnswer(hyper::Error),
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Connect(cause) => write!(f, "cannot connect: {cause}"),
+            Self::NoAnswer(cause) => write!(f, "no answer: {cause}"),
+        }
+    }
+}
+
+/// Limits on idle connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PoolLimits {
+    /// Maximum number of idle connections.
+    pub max_idle: usize,
+    /// Time after which an idle connection is closed.
+    pub idle_timeout: Duration,
+}
+
+/// A connection in the pool.
+#[derive(Debug)]
+struct IdleConnection<B> {
+    sender: SendRequest<B>,
+    idle_since: Instant,
+    /// When the server is about to close it, if its answer said so.
+    expires_at: Option<Instant>,
+}
+
+impl<B> IdleConnection<B> {
+    fn is_expired(&self, now: Instant) -> bool {
+        self.expires_at.is_some_and(|expires_at| expires_at <= now)
+    }
+}
+
+/// A pool of connections to one address.
+///
+/// The connection used last is reused first, since it is the least likely to have
+/// been closed or dropped on the way.
+#[derive(Debug)]
+pub struct ConnectionPool<B> {
+    dialer: Dialer,
+    limits: PoolLimits,
+    host: HeaderValue,
+    idle: Mutex<VecDeque<IdleConnection<B>>>,
+}
+
+impl<B> ConnectionPool<B>
+where
+    B: Body<Data = Bytes> + Send + 'static,
+    B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
+{
+    /// Creates an empty pool.
+    pub fn new(dialer: Dialer, limits: PoolLimits) -> Self {
+        let host = HeaderValue::try_from(dialer.address.to_string());
+        Self {
+            dialer,
+            limits,
+            host: host.unwrap_or_else(|_| HeaderValue::from_static("")),
+            idle: Mutex::default(),
+        }
+    }
+
+    /// Sends a request, whose target is a path, and waits for the head of the
+    /// answer.
+    ///
+    /// The connection is reused once the body of the answer has been read; it
+    /// closes if this future or the body is dropped earlier.
+    ///
+    /// # Errors
+    ///
+    /// Fails without an answer; the error says whether the request may have
+    /// arrived.
+    pub async fn request(
+        &self,
+        mut request: Request<B>,
+    ) -> Result<Response<Incoming>, RequestError> {
+        if !request.headers().contains_key(HOST) {
+            request.headers_mut().insert(HOST, self.host.clone());
+        }
+        while let Some(mut sender) = self.take_idle() {
+            match sender.try_send_request(request).await {
+                Ok(answer) => return Ok(self.keep_answered(sender, answer)),
+                Err(mut failed) => match failed.take_message() {
+                    // The server had already closed the connection.
+                    Some(unsent) => request = unsent,
+                    None => return Err(RequestError::NoAnswer(failed.into_error())),
+                },
+            }
+        }
+        let mut sender = self.connect().await?;
+        match sender.send_request(request).await {
+            Ok(answer) => Ok(self.keep_answered(sender, answer)),
+            Err(e) => Err(RequestError::NoAnswer(e)),
+        }
+    }
+
+    /// Opens a connection and puts it into the pool.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no connection can be opened.
+    pub async fn open(&self) -> Result<(), RequestError> {
+        let sender = self.connect().await?;
+        self.put_back(sender, None);
+        Ok(())
+    }
+
+    async fn connect(&self) -> Result<SendRequest<B>, RequestError> {
+        let stream = self.dialer.connect().await.map_err(RequestError::Connect)?;
+        let (sender, connection) = Builder::new()
+            .max_buf_size(MAX_BUFFER)
+            .handshake(TokioIo::new(stream))
+            .await
+            .map_err(RequestError::NoAnswer)?;
+        tokio::spawn(async move {
+            if let Err(e) = connection.await {
+                spdlog::debug!("connection ended", kv: { cause = e.to_string().as_str() });
+            }
+        });
+        Ok(sender)
+    }
+
+    /// Takes the most recently used connection that can carry a request now.
+    fn take_idle(&self) -> Option<SendRequest<B>> {
+        let now = Instant::now();
+        let mut idle = self.idle.lock();
+        let mut index = idle.len();
+        while index > 0 {
+            index -= 1;
+            let is_ready = idle[index].sender.is_ready();
+            let is_expired = is_ready && idle[index].is_expired(now);
+            if is_ready && !is_expired {
+                return idle.remove(index).map(|idle| idle.sender);
+            }
+            if is_expired || idle[index].sender.is_closed() {
+                idle.remove(index);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection to the pool while the body of its answer may still be
+    /// arriving; it isn't taken again until the body has been read.
+    fn keep_answered(
+        &self,
+        sender: SendRequest<B>,
+        answer: Response<Incoming>,
+    ) -> Response<Incoming> {
+        let reuse_time = keep_alive_timeout(answer.headers()).map(|time| time.mul_f64(REUSE_SHARE));
+        self.put_back(sender, reuse_time);
+        answer
+    }
+
+    /// Puts a connection into the pool, for at most `reuse_time` if set.
+    fn put_back(&self, sender: SendRequest<B>, reuse_time: Option<Duration>) {
+        let idle_since = Instant::now();
+        let expires_at = reuse_time.map(|time| idle_since + time);
+        let mut idle = self.idle.lock();
+        idle.push_back(IdleConnection {
+            sender,
+            idle_since,
+            expires_at,
+        });
+        self.drop_excess(&mut idle, idle_since);
+    }
+
+    /// Closes connections that exceeded the idle timeout; otherwise this happens
+    /// only when a connection returns to the pool.
+    pub fn trim(&self) {
+        let mut idle = self.idle.lock();
+        self.drop_excess(&mut idle, Instant::now());
+        if idle.is_empty() {
+            idle.shrink_to_fit();
+        }
+    }
+
+    fn drop_excess(&self, idle: &mut VecDeque<IdleConnection<B>>, now: Instant) {
+        let is_old = |idle: &IdleConnection<B>| {
+            now.saturating_duration_since(idle.idle_since) > self.limits.idle_timeout
+        };
+        while idle.len() > self.limits.max_idle || idle.front().is_some_and(is_old) {
+            idle.pop_front();
+        }
+    }
+
+    /// Returns the number of pooled connections; the body of a last answer may still
+    /// be arriving.
+    pub fn idle_count(&self) -> usize {
+        self.idle.lock().len()
+    }
+}
--- a/src/web/begun.rs
+++ b/src/web/early_request.rs
@@ -1,4 +1,4 @@
-//! A request that was begun before its turn.
+//! A pipelined request that was started before earlier ones were answered.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,17 +9,17 @@
 
 use super::CallerAnswer;
 
-/// A request that was begun before its turn; its work ends when it is dropped.
+/// A pipelined request that was started early; dropping it aborts its task.
 #[derive(Debug)]
-pub(super) struct Begun {
+pub(super) struct EarlyRequest {
     start: u64,
     method: Method,
     target: Uri,
     task: JoinHandle<CallerAnswer>,
 }
 
-impl Begun {
-    /// Takes note of the work on the request whose head begins at `start`.
+impl EarlyRequest {
+    /// Wraps the task of the request whose head begins at byte `start`.
     pub(super) fn new(
         start: u64,
         (method, target): (Method, Uri),
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Tells whether this is the work on the request that begins at `start`.
-    pub(super) fn is_of<B>(&self, start: u64, request: &Request<B>) -> bool {
+    /// Returns whether this is `request`, whose head begins at byte `start`.
+    pub(super) fn matches<B>(&self, start: u64, request: &Request<B>) -> bool {
         self.start == start && self.method == *request.method() && self.target == *request.uri()
     }
 }
 
-impl Future for Begun {
+impl Future for EarlyRequest {
     type Output = Result<CallerAnswer, JoinError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
@@ -47,7 +47,7 @@
     }
 }
 
-impl Drop for Begun {
+impl Drop for EarlyRequest {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/src/web/payload.rs
+++ b/src/web/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls and answers, whole or as a stream.
+//! Bodies of calls and answers, whole or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,64 +7,63 @@
 use futures_util::Stream;
 use tokio::sync::mpsc;
 
-/// Largest body that is held whole, in bytes; larger ones are streamed, and
-/// cannot be sent again to another server. Uploads of the users have up to
-/// 360 KB.
-pub const SMALL_BODY: usize = 512 * 1024;
-/// Chunks that wait between the two ends of a stream.
-const WINDOW: usize = 8;
+/// Maximum size of a body that is held whole, in bytes; larger ones are streamed
+/// and can't be retried at another server. Users' uploads have up to 360 KB.
+pub const MAX_WHOLE_BODY: usize = 512 * 1024;
+/// Maximum number of chunks queued between the ends of a stream.
+const MAX_QUEUED_CHUNKS: usize = 8;
 
-/// A body ended before its end.
+/// A streamed body ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct IncompleteBody;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for IncompleteBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the body ended before its end")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for IncompleteBody {}
 
-/// The receiving end of a streamed body, with back pressure.
+/// The receiving end of a streamed body, with backpressure.
 ///
-/// It ends after the last chunk, or with [`Cut`].
+/// The stream ends after the last chunk, or with [`IncompleteBody`].
 #[derive(Debug)]
 pub struct Chunks {
-    receiver: mpsc::Receiver<Result<Bytes, Cut>>,
-    done: bool,
+    receiver: mpsc::Receiver<Result<Bytes, IncompleteBody>>,
+    is_done: bool,
 }
 
 impl Chunks {
-    /// Makes a stream and its sending end.
-    pub fn channel() -> (mpsc::Sender<Result<Bytes, Cut>>, Self) {
-        let (sender, receiver) = mpsc::channel(WINDOW);
-        let done = false;
-        (sender, Self { receiver, done })
+    /// Creates a stream and its sending end.
+    pub fn channel() -> (mpsc::Sender<Result<Bytes, IncompleteBody>>, Self) {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let is_done = false;
+        (sender, Self { receiver, is_done })
     }
 
     /// Waits for the next chunk.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, IncompleteBody>> {
         std::future::poll_fn(|cx| Pin::new(&mut *self).poll_next(cx)).await
     }
 }
 
 impl Stream for Chunks {
-    type Item = Result<Bytes, Cut>;
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.done {
+        if self.is_done {
             return Poll::Ready(None);
         }
         let item = std::task::ready!(self.receiver.poll_recv(cx));
-        // An empty chunk marks the end, so that a sender that is dropped
-        // before it is told from one that is done.
+        // An empty chunk marks the end, which distinguishes a sender that
+        // finished from one that was dropped early.
         let item = match item {
             Some(Ok(chunk)) if chunk.is_empty() => None,
             Some(item) => Some(item),
-            None => Some(Err(Cut)),
+            None => Some(Err(IncompleteBody)),
         };
-        self.done = !matches!(item, Some(Ok(_)));
+        self.is_done = !matches!(item, Some(Ok(_)));
         Poll::Ready(item)
     }
 }
@@ -72,30 +71,30 @@
 /// The body of a call or an answer.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
     /// A stream of chunks.
     Stream {
-        /// The length in bytes, if it is known beforehand.
+        /// The length in bytes, if it is known in advance.
         length: Option<u64>,
-        /// The chunks.
+        /// The chunks, in order.
         chunks: Chunks,
     },
 }
 
 impl Payload {
-    /// Makes an empty body.
+    /// Creates an empty body.
     pub const fn empty() -> Self {
         Self::Whole(Bytes::new())
     }
 }
 
-/// Reads a body whole, up to `limit` bytes; `None` if it is longer.
+/// Reads a whole body of at most `limit` bytes; `None` if it is longer.
 ///
 /// # Errors
 ///
-/// Fails if the body is cut.
-pub async fn collect(payload: Payload, limit: usize) -> Result<Option<Bytes>, Cut> {
+/// Fails if the body is incomplete.
+pub async fn collect(payload: Payload, limit: usize) -> Result<Option<Bytes>, IncompleteBody> {
     let mut chunks = match payload {
         Payload::Whole(bytes) if bytes.len() <= limit => return Ok(Some(bytes)),
         Payload::Whole(_) => return Ok(None),
--- a/src/web/server.rs
+++ b/src/web/threaded_server.rs
@@ -1,4 +1,4 @@
-//! Serving of HTTP.
+//! An HTTP server of `xitca-web` that runs on threads of its own.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,36 +14,36 @@
 
 use crate::error::Error;
 
-/// A request as `xitca-web` gives it.
+/// A request received by a [`ThreadedServer`].
 pub type HttpRequest = Request<RequestExt<RequestBody>>;
-/// An answer as `xitca-web` takes it.
+/// An answer sent by a [`ThreadedServer`].
 pub type HttpResponse = Response<ResponseBody>;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Largest head of a request, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const MAX_HEAD: usize = 32 * 1024;
-/// Largest buffer of answers not yet written, in bytes.
-const MAX_WRITE: usize = 256 * 1024;
-/// How long a connection may be idle.
-const KEEP_ALIVE: Duration = Duration::from_secs(60);
-/// How long a request's head may take.
+/// Maximum size of the buffer of unsent answers, in bytes.
+const MAX_WRITE_BUFFER: usize = 256 * 1024;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A server that runs until it is stopped.
-pub struct Running {
+/// An HTTP server that runs until it is stopped or dropped.
+pub struct ThreadedServer {
     address: SocketAddr,
     handle: xitca_server::ServerHandle,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Running {
-    /// Returns the address it listens on.
+impl ThreadedServer {
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it at once; calls in flight should have ended before.
+    /// Stops the server at once, without waiting for requests in flight.
     pub fn stop(&mut self) {
         self.handle.stop(false);
         if let Some(thread) = self.thread.take() {
@@ -52,25 +52,25 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ThreadedServer {
     fn drop(&mut self) {
         self.handle.stop(false);
     }
 }
 
-/// Binds `address` and serves `handler` with `workers` threads.
+/// Binds `address` and serves requests with `handler` on `workers` threads.
 ///
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub fn serve<H, F>(address: SocketAddr, workers: usize, handler: H) -> Result<Running, Error>
+pub fn serve<H, F>(address: SocketAddr, workers: usize, handler: H) -> Result<ThreadedServer, Error>
 where
     H: Fn(HttpRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
-    let failed = |e| Error::io(format!("listen on {address}"), e);
-    let listener = TcpListener::bind(address).map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+    let listen_error = |e| Error::io(format!("listen on {address}"), e);
+    let listener = TcpListener::bind(address).map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     let service = fn_service(move |request: HttpRequest| {
         let answer = handler(request);
         async move { Ok::<HttpResponse, Infallible>(answer.await) }
@@ -78,44 +78,44 @@
     let mut future = HttpServer::serve(service)
         .max_request_headers::<MAX_HEADERS>()
         .max_read_buf_size::<MAX_HEAD>()
-        .max_write_buf_size::<MAX_WRITE>()
-        .keep_alive_timeout(KEEP_ALIVE)
+        .max_write_buf_size::<MAX_WRITE_BUFFER>()
+        .keep_alive_timeout(IDLE_TIMEOUT)
         .request_head_timeout(HEAD_TIMEOUT)
         .worker_threads(workers)
         .worker_max_blocking_threads(1)
         .disable_signal()
         .listen(listener)
-        .map_err(failed)?
+        .map_err(listen_error)?
         .run();
-    let handle = future.handle().map_err(failed)?;
+    let handle = future.handle().map_err(listen_error)?;
     let thread = std::thread::Builder::new()
         .name("http".into())
         .spawn(move || {
             let _ = future.wait();
         })
-        .map_err(failed)?;
-    Ok(Running {
+        .map_err(listen_error)?;
+    Ok(ThreadedServer {
         address,
         handle,
         thread: Some(thread),
     })
 }
 
-/// Answers with JSON.
+/// Builds an answer with a JSON body.
 pub fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(ResponseBody::bytes(body));
     *answer.status_mut() = status;
-    let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, json);
+    let content_type = HeaderValue::from_static("application/json");
+    answer.headers_mut().insert(CONTENT_TYPE, content_type);
     answer
 }
 
-/// Answers with text.
+/// Builds an answer with a plain text body.
 pub fn answer_text(status: StatusCode, text: impl Into<String>) -> HttpResponse {
     let mut answer = Response::new(ResponseBody::bytes(text.into()));
     *answer.status_mut() = status;
-    let plain = HeaderValue::from_static("text/plain; charset=utf-8");
-    answer.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; charset=utf-8");
+    answer.headers_mut().insert(CONTENT_TYPE, content_type);
     answer
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -14,18 +14,18 @@
 use std::time::{Duration, Instant};
 
 use bramleymount::emulator::free_address;
-use bramleymount::store::{Memory, serve_standin};
-use bramleymount::web::{Answer, Client, Running};
+use bramleymount::store::{MemoryPlatform, serve_standin};
+use bramleymount::web::{Answer, Client, ThreadedServer};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request};
 use http_body_util::Full;
 
 /// Longest wait for something that must come true; only a failing test waits so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Waits until `done` gives a value.
 pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, done: impl Fn() -> F) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     loop {
         if let Some(value) = done().await {
             return value;
@@ -35,8 +35,8 @@
     }
 }
 
-pub fn platform() -> (SocketAddr, Arc<Memory>, Running) {
-    let memory = Arc::new(Memory::default());
+pub fn platform() -> (SocketAddr, Arc<MemoryPlatform>, ThreadedServer) {
+    let memory = Arc::new(MemoryPlatform::default());
     let address = free_address().expect("a port");
     let running = serve_standin(address, Arc::clone(&memory)).expect("the stand-in");
     (address, memory, running)
