--- a/examples/soak/backend.rs
+++ b/examples/soak/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server of one VM: announces itself, runs requests, fails.
+//! The backend server of one VM, which announces itself, runs requests and can fail.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,49 +21,49 @@
 use crate::pipeliner::is_pipelined;
 use crate::record::{Record, Run};
 
-/// How often the server announces itself.
+/// Interval between two announcements of the server.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an acknowledgement may take.
+/// How long to wait for the acknowledgement of an announcement.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Requests of a hundred that are rejected without being run, and that run
-/// long enough for their callers to leave.
+/// Percentage of requests that are rejected without being run.
 const REJECTED_PERCENT: u32 = 3;
+/// Percentage of requests that run long enough for their callers to disconnect.
 const SLOW_PERCENT: u32 = 5;
-/// How long after its start a deadly request crashes its server.
+/// Time from the start of a deadly request to the crash of its server.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
-/// How often the port is tried again.
+/// How often binding the port is retried.
 const MAX_BIND_RETRIES: u32 = 50;
-/// How long those run.
+/// How long slow requests run.
 const SLOW_TIME: Duration = Duration::from_millis(1500);
 
-/// What a server tells of itself.
+/// The state that a server announces.
 #[derive(Clone, Debug)]
 struct ServerState {
     id: String,
     start_ms: u64,
     sequence: u64,
-    /// Whether its announcements say that it leaves.
+    /// Whether announcements say that the server leaves.
     is_leaving: bool,
-    /// Whether its answers do.
+    /// Whether answers say that the server leaves.
     signals_leaving: bool,
-    /// The requests a second that it takes, while it is in need.
+    /// The rate limit that answers name, in requests per second.
     limit: Option<f64>,
 }
 
-/// The state that handlers and announcements share.
+/// State shared by request handlers and announcements.
 #[derive(Debug)]
 struct Shared {
     vm: usize,
     record: Arc<Record>,
     state: Mutex<ServerState>,
-    /// When it was acknowledged that the server leaves.
+    /// When the leaving of the server was acknowledged.
     leave_ack: Mutex<Option<Instant>>,
     active_run: Mutex<Option<ActiveRun>>,
-    /// Told when a request has crashed the server.
+    /// Notified when a deadly request has crashed the server.
     crashed: Notify,
 }
 
-/// What ends with a run of the server.
+/// The listener and the announcements of one run; both stop on drop.
 #[derive(Debug)]
 struct ActiveRun {
     _listening: HttpListener,
@@ -84,12 +84,12 @@
 }
 
 impl Shared {
-    /// Ends the run of the server; returns whether there was one.
+    /// Ends the current run and returns whether there was one.
     fn end(&self) -> bool {
         self.active_run.lock().take().is_some()
     }
 
-    /// Crashes the server under a deadly request.
+    /// Crashes the server `CRASH_DELAY` after a deadly request started.
     async fn crash_after_delay(&self, deadly: u64) {
         tokio::time::sleep(CRASH_DELAY).await;
         if self.end() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Starts a run, with a new id or under the one it had.
+    /// Starts a run with the previous id or a new one.
     pub(crate) async fn start(&mut self, same_id: bool) -> eyre::Result<()> {
         {
             let mut state = self.shared.state.lock();
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Listens; the port may be that of a run whose end is under way.
+    /// Binds the port, retrying while the previous run still holds it.
     async fn listen(&self) -> eyre::Result<HttpListener> {
         let mut tries = 0;
         loop {
@@ -174,24 +174,24 @@
         }
     }
 
-    /// Ends at once, as a crash would; connections are closed.
+    /// Crashes the server: ends its run at once and closes its connections.
     pub(crate) fn crash(&mut self) {
         self.shared.end();
     }
 
-    /// Tells whether the server is down.
+    /// Returns whether the server is down.
     pub(crate) fn is_down(&self) -> bool {
         self.shared.active_run.lock().is_none()
     }
 
-    /// Returns what waits until a request has crashed the server.
+    /// Waits until a deadly request has crashed the server, without borrowing it.
     pub(crate) fn wait_for_crash(&self) -> impl Future<Output = ()> + use<> {
         let shared = Arc::clone(&self.shared);
         async move { shared.crashed.notified().await }
     }
 
-    /// Names a rate with all answers of this run from now on, unless it names one;
-    /// returns whether it named none before.
+    /// Names a rate limit in all further answers of this run, unless it names one
+    /// already; returns whether the limit was set.
     pub(crate) fn begin_limit(&self, rate: f64) -> bool {
         let mut state = self.shared.state.lock();
         let began = state.limit.is_none();
@@ -199,7 +199,7 @@
         began
     }
 
-    /// Names no rate any more.
+    /// Stops naming a rate limit.
     pub(crate) fn end_limit(&self) {
         let mut state = self.shared.state.lock();
         state.limit = None;
@@ -209,12 +209,13 @@
             .record_recovery((self.shared.vm, state.start_ms));
     }
 
-    /// Says with answers alone that the server leaves.
+    /// Says that the server leaves, in its answers only.
     pub(crate) fn signal_leaving(&self) {
         self.shared.state.lock().signals_leaving = true;
     }
 
-    /// Says that the server leaves; returns whether that was acknowledged.
+    /// Announces that the server leaves; returns whether this was acknowledged
+    /// within `wait`.
     pub(crate) async fn announce_leaving(&self, wait: Duration) -> bool {
         {
             let mut state = self.shared.state.lock();
@@ -231,7 +232,7 @@
         false
     }
 
-    /// Returns when it was acknowledged that the server leaves.
+    /// Returns when the leaving of the server was acknowledged.
     pub(crate) fn leave_ack(&self) -> Option<Instant> {
         *self.shared.leave_ack.lock()
     }
@@ -261,7 +262,7 @@
         *request.method_mut() = Method::PUT;
         *request.uri_mut() = format!("http://{to}/instances/{}", state.id)
             .parse()
-            .expect("a URI");
+            .expect("valid URI");
         let is_acknowledged = client.send(request).await;
         let is_acknowledged = is_acknowledged.is_ok_and(|answer| answer.status.is_success());
         if is_acknowledged && state.is_leaving {
@@ -271,7 +272,7 @@
     }
 }
 
-/// Notes the end of a run, also where its connection closes first.
+/// Records the end of a run on drop, which also covers a connection that closes first.
 struct RunGuard {
     shared: Arc<Shared>,
     id: String,
--- a/examples/soak/caller.rs
+++ b/examples/soak/caller.rs
@@ -1,5 +1,4 @@
-//! Callers: each sends one request after the other over a connection that it
-//! keeps as long as that lives.
+//! Callers that send one request after the other over a kept-alive connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,34 +17,35 @@
 
 /// How long a caller waits for an answer.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(3);
-/// Pause between two requests of one caller.
+/// Mean pause between two requests of one caller.
 const REQUEST_PAUSE: Duration = Duration::from_millis(40);
-/// Requests of a hundred that their callers leave, and after which time.
+/// Percentage of reads that their callers abandon.
 const ABANDONED_PERCENT: u32 = 4;
+/// How long callers wait before they abandon a request.
 const ABANDON_DELAY: Duration = Duration::from_millis(150);
 
 /// The body of all deadly requests.
 pub(crate) const DEADLY_BODY: &str = "deadly";
-/// Pause between two sends of the same deadly request.
+/// Mean pause between two sends of the same deadly request.
 const DEADLY_PAUSE: Duration = Duration::from_millis(300);
-/// How long one deadly request is sent before another is.
+/// How long the same deadly request is sent before the next one.
 const DEADLY_PERIOD: Duration = Duration::from_secs(12);
-/// A refusal that asks to stay away for longer is one of a deadly request;
-/// under overload callers are asked to stay away for a second or two.
+/// A `Retry-After` above this marks a deadly request that is held; under overload
+/// it is a second or two.
 const MIN_HOLD_SECONDS: f64 = 60.0;
 
-/// Returns for how many seconds an answer asks to stay away.
+/// Returns the seconds in the `Retry-After` header, or 0.
 fn retry_after_seconds(headers: &HeaderMap) -> f64 {
     let told = headers.get("retry-after").and_then(|at| at.to_str().ok());
     told.and_then(|at| at.parse().ok()).unwrap_or_default()
 }
 
-/// Returns the body of a request.
+/// Returns the body of an ordinary request.
 pub(crate) fn request_body(id: &str) -> String {
     format!("body of {id}")
 }
 
-/// One caller beside a VM.
+/// One caller of a VM's daemon.
 pub(crate) struct Caller {
     vm: usize,
     name: String,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Sends requests until `stop` is told.
+    /// Sends requests until `stop` is set.
     pub(crate) async fn run(mut self, stop: watch::Receiver<bool>) {
         let mut count = 0;
         while !*stop.borrow() {
@@ -108,9 +108,10 @@
         }
     }
 
-    /// Sends the same request again and again, and after some time another one
-    /// that crashes servers, until `stop` is told; no other one after `end`,
-    /// since that would be a fault.
+    /// Repeats a deadly request until `stop` is set, with a new one every
+    /// `DEADLY_PERIOD`.
+    ///
+    /// No new one starts after `end`, since its crashes would be further faults.
     pub(crate) async fn repeat_deadly_request(mut self, stop: watch::Receiver<bool>, end: Instant) {
         let (start, mut count) = (Instant::now(), 0);
         while !*stop.borrow() {
@@ -132,11 +133,14 @@
     async fn send(&self, id: &str, target: &str, body: &str) -> Outcome {
         let mut request = Request::new(Full::new(Bytes::copy_from_slice(body.as_bytes())));
         *request.method_mut() = Method::POST;
-        *request.uri_mut() = target.parse().expect("a path");
+        *request.uri_mut() = target.parse().expect("valid path");
         let headers = request.headers_mut();
         headers.insert("host", HeaderValue::from_static("a.example"));
         headers.insert("x-caller-service", HeaderValue::from_static("forged"));
-        headers.insert("x-request-id", HeaderValue::from_str(id).expect("an id"));
+        headers.insert(
+            "x-request-id",
+            HeaderValue::from_str(id).expect("valid header value"),
+        );
         headers.insert(
             "x-deadline-ms",
             HeaderValue::from(DEADLINE.as_millis() as u64),
@@ -161,7 +165,7 @@
         {
             self.record.held_ids.lock().push(id.to_owned());
         }
-        // A refusal of the daemon itself may leave the id out.
+        // Refusals by the daemon itself may omit the id.
         let id_fits = answer_id.is_none_or(|value| value == id);
         Outcome::Answered {
             status: head.status.as_u16(),
--- a/examples/soak/check.rs
+++ b/examples/soak/check.rs
@@ -1,7 +1,7 @@
-//! The promises, judged by what callers and backend servers saw.
+//! Checks of the promises against what callers and backend servers observed.
 //!
-//! A bound on time holds for a VM only where nothing but planned work touched
-//! it, or the store, for `CONTACT` before.
+//! A time bound applies to a VM only if neither a fault nor planned work
+//! affected the VM or the store since `UNDISTURBED_TIME` before.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use crate::record::{Outcome, Record, RequestRecord, Run};
 use crate::vm::overlaps_any;
 
-/// How long a VM must have been undisturbed for bounds on time to hold.
+/// How long a VM must have been undisturbed before time bounds apply to it.
 pub(crate) const UNDISTURBED_TIME: Duration = Duration::from_secs(3);
-/// Until a version is in force everywhere.
+/// Time until an accepted version is in force on all daemons.
 const VERSION_DELAY: Duration = Duration::from_millis(2250);
-/// Until a server that leaves gets nothing more.
+/// Time until a server that leaves receives no more requests.
 pub(crate) const DRAIN_DELAY: Duration = Duration::from_millis(2000);
-/// Until the work of a request ends that its caller left.
+/// Time until the work of a request stops after its caller disconnected.
 const CANCEL_DELAY: Duration = Duration::from_millis(500);
-/// The window in which repeats are counted.
+/// The window in which retries are counted.
 const WINDOW: Duration = Duration::from_secs(10);
-/// Crashes of one request that are allowed, and how often it may reach servers
-/// after all can know of them.
+/// Number of servers that one deadly request may crash before it must be held.
 const ALLOWED_CRASHES: usize = 3;
+/// Number of runs of a deadly request that are tolerated after all daemons can
+/// know of its crashes.
 const MAX_LATE_RUNS: usize = 3;
-/// Time of the process that watches, which may be late itself.
+/// Tolerance for delays in the observing process itself.
 pub(crate) const MEASUREMENT_SLACK: Duration = Duration::from_millis(100);
 
 /// One broken promise.
 #[derive(Clone, Debug)]
 pub(crate) struct Violation {
     pub(crate) rule: &'static str,
-    /// The request, if it is one.
+    /// The request's id; empty if the promise isn't about a single request.
     pub(crate) id: String,
     pub(crate) at: Instant,
     pub(crate) detail: String,
 }
 
-/// Judges all that was recorded.
+/// Checks all promises against the record and returns those that were broken.
 pub(crate) fn check_promises(world: &World, record: &Record) -> Vec<Violation> {
     let requests = record.requests.lock();
     let mut violations: Vec<Violation> = Vec::new();
@@ -99,15 +100,18 @@
     violations
 }
 
+/// Returns the runs that the backend server did not reject.
 fn started_runs(request: &RequestRecord) -> impl Iterator<Item = &Run> {
     request.runs.iter().filter(|run| !run.rejected)
 }
 
+/// TWICE: a non-idempotent request ran more than once.
 fn twice(request: &RequestRecord) -> Option<String> {
     let runs = started_runs(request).count();
     (request.path == WRITE_PATH && runs > 1).then(|| format!("it ran {runs} times"))
 }
 
+/// REFUSED: a non-idempotent request ran though its caller was told it had not.
 fn refused(request: &RequestRecord) -> Option<String> {
     let promised = matches!(
         request.outcome,
@@ -125,6 +129,7 @@
         .then(|| "it was said not to have run".into())
 }
 
+/// MIXED: an answer belongs to another request, or a success lacks a signature or a run.
 fn mixed(request: &RequestRecord) -> Option<String> {
     let Some((
         _,
@@ -142,6 +147,7 @@
     wrong.then(|| format!("status {status}, signed {signed}, fits {fits}"))
 }
 
+/// ROUTE: a request ran at a service that its path is not routed to.
 fn route(request: &RequestRecord) -> Option<String> {
     let allowed = |run: &&Run| match request.path {
         READ_PATH => run.service == "front",
@@ -152,6 +158,7 @@
     Some(format!("{} ran it", wrong.service))
 }
 
+/// UNASKED: a request was changed on the way or its origin was forged.
 fn unasked(request: &RequestRecord) -> Option<String> {
     let own = service_of(request.vm);
     let wrong = request
@@ -164,7 +171,8 @@
     ))
 }
 
-/// Tells whether a VM and the store were undisturbed from `CONTACT` before.
+/// Returns whether a VM and the store were undisturbed between `UNDISTURBED_TIME`
+/// before `from` and `to`.
 fn is_undisturbed(world: &World, vm: usize, from: Instant, to: Instant) -> bool {
     let since = from.checked_sub(UNDISTURBED_TIME).unwrap_or(from);
     let daemon = &world.vms[vm];
@@ -173,13 +181,13 @@
         && !overlaps_any(&world.store_faults.lock(), since, to)
 }
 
-/// A run by a service that only an older version allows.
+/// CONFIG: a request ran at a service that only an outdated version allows.
 fn config(world: &World, request: &RequestRecord) -> Option<String> {
     if request.path != MOVED_PATH {
         return None;
     }
     let versions = world.versions.lock();
-    // Versions that may be in force: the last one that had its time, and later.
+    // The version that is in force everywhere; later ones may be in force as well.
     let settled = versions
         .iter()
         .rev()
@@ -197,7 +205,7 @@
     undisturbed.then(|| format!("{} ran it after version {settled}", wrong.service))
 }
 
-/// A request that reaches a server after it was acknowledged that it leaves.
+/// DRAIN: a request reached a server too long after its leaving was acknowledged.
 fn drain(world: &World, request: &RequestRecord) -> Option<String> {
     let leaving = world.departures.lock();
     let late = |run: &&Run| {
@@ -212,7 +220,8 @@
     undisturbed.then(|| format!("it reached vm {}", run.vm))
 }
 
-/// A request cut by a planned stop of its own daemon after a server began it.
+/// LOST: a planned stop of the caller's daemon cut a request that a server had
+/// started.
 fn lost(world: &World, request: &RequestRecord) -> Option<String> {
     let (end, Outcome::Cut) = request.outcome.as_ref()? else {
         return None;
@@ -223,7 +232,7 @@
         .checked_sub(UNDISTURBED_TIME)
         .unwrap_or(request.at);
     let planned = overlaps_any(&daemon.stops.lock(), since, *end);
-    // Nothing else may have gone wrong on the VMs that the request touched.
+    // A fault on a VM that the request passed through excuses the loss.
     let undisturbed = |vm: usize| !overlaps_any(&world.vms[vm].disturbances.lock(), since, *end);
     let runs_undisturbed = started_runs(request).all(|run| undisturbed(run.vm));
     let was_started = started_runs(request).count() > 0;
@@ -231,7 +240,7 @@
         .then(|| "its connection ended at a planned stop".into())
 }
 
-/// Work that goes on after its callers left; more than a quarter of it.
+/// GONE: more than a quarter of the runs went on after their callers disconnected.
 fn abandoned_work<'s>(
     world: &World,
     all: impl Iterator<Item = &'s RequestRecord>,
@@ -267,7 +276,7 @@
     })
 }
 
-/// Repeats at a service beyond what the platform allows in any window.
+/// BUDGET: a service received more retries in a window than the platform allows.
 fn budget<'s>(all: impl Iterator<Item = &'s RequestRecord>) -> Option<Violation> {
     let mut first_runs: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
     let mut repeat_runs: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
@@ -307,8 +316,8 @@
     None
 }
 
-/// Deadly requests that reach servers more often than allowed once all can know
-/// that they crashed three.
+/// BUDGET: deadly requests kept reaching servers after all daemons could know
+/// that each had crashed `ALLOWED_CRASHES` of them.
 fn late_deadly_runs<'s>(
     world: &World,
     record: &Record,
@@ -352,7 +361,7 @@
     .collect()
 }
 
-/// Returns how often requests sent in a time ended in each way.
+/// Counts the requests sent from `from` until `to` by VM, path and outcome.
 pub(crate) fn count_outcomes(
     record: &Record,
     from: Instant,
@@ -374,7 +383,9 @@
     counts
 }
 
-/// Returns the share of requests sent since `from` that were served.
+/// Returns how many requests sent from `from` until `to` were served, of how many.
+///
+/// Deadly requests and those that their callers abandoned are left out.
 pub(crate) fn count_served(record: &Record, from: Instant, to: Instant) -> (usize, usize) {
     let requests = record.requests.lock();
     let ended = requests.values().filter(|s| s.at >= from && s.at < to);
--- a/examples/soak/estate.rs
+++ b/examples/soak/estate.rs
@@ -1,31 +1,33 @@
-//! The estate that is soaked: addresses, settings and the operator's document.
+//! The estate under test: addresses, settings and the operator's configuration.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use bramleymount::emulator::free_address_on;
 
-/// Data centres, and VMs in each.
+/// Number of data centres.
 pub(crate) const CENTRE_COUNT: usize = 3;
+/// Number of VMs in each data centre.
 pub(crate) const VMS_PER_CENTRE: usize = 3;
-/// Services; VM n of a data centre belongs to service n of these.
+/// The service of each VM of a data centre, by the VM's index.
 pub(crate) const SERVICES: [&str; 3] = ["front", "back", "front"];
-/// Calls that a backend server runs at one time.
+/// Number of calls that a backend server runs concurrently.
 pub(crate) const BACKEND_SLOTS: u32 = 20;
-/// What the platform allows of retries: a share, and a slack on top.
+/// Retries that the platform allows: a share of the requests, and a number on top.
 pub(crate) const RETRY_SHARE: f64 = 0.2;
 pub(crate) const RETRY_SLACK: f64 = 47.0;
 
-/// The paths of requests: idempotent ones, ones that must not run twice, and
-/// one whose service changes with the version.
+/// Path prefix of idempotent requests.
 pub(crate) const READ_PATH: &str = "/read/";
+/// Path prefix of requests that must not run twice.
 pub(crate) const WRITE_PATH: &str = "/write/";
+/// Path prefix of idempotent requests whose service changes with the version.
 pub(crate) const MOVED_PATH: &str = "/moved/";
 
-/// How the paths of requests begin that crash each server that runs them; the
-/// number of one such request follows.
+/// Path prefix of deadly requests, which crash each server that runs them; the
+/// number of the request follows.
 pub(crate) const DEADLY_PATH: &str = "/read/deadly-";
 
-/// Returns the number of a deadly request.
+/// Returns the number of a deadly request, or `None` for other paths.
 pub(crate) fn deadly_number(path: &str) -> Option<u64> {
     path.strip_prefix(DEADLY_PATH)?.parse().ok()
 }
@@ -35,7 +37,7 @@
 pub(crate) struct Addresses {
     pub(crate) callers: SocketAddr,
     pub(crate) peers: SocketAddr,
-    /// Where other daemons reach `peers`: a proxy that faults act on.
+    /// The proxy through which other daemons reach `peers`; faults act on it.
     pub(crate) proxy: SocketAddr,
     pub(crate) announcements: SocketAddr,
     pub(crate) readiness: SocketAddr,
@@ -59,7 +61,7 @@
         })
     }
 
-    /// Writes the settings of the daemon.
+    /// Formats the daemon's settings file.
     pub(crate) fn settings_yaml(&self, vm: usize, store: SocketAddr) -> String {
         let centre = vm / VMS_PER_CENTRE;
         let grace = super::vm::GRACE_PERIOD.as_secs();
@@ -85,12 +87,12 @@
     SERVICES[vm % VMS_PER_CENTRE]
 }
 
-/// Returns the service that a version sends `MOVED` to.
+/// Returns the service that a version routes `MOVED_PATH` to.
 pub(crate) fn moved_path_service(version: u64) -> &'static str {
     SERVICES[version as usize % 2]
 }
 
-/// Writes a version of the operator's document.
+/// Formats the operator's configuration of a version.
 pub(crate) fn configuration_document(version: u64) -> String {
     let route = |name: &str, path: &str, kind: &str, service: &str| {
         format!(
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -1,4 +1,4 @@
-//! The faults, in a random order that a seed gives; they overlap.
+//! Overlapping faults, drawn at random from a seed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +16,23 @@
 use crate::rows::{RowsStandIn, Trouble};
 use crate::vm::{GRACE_PERIOD, Signal, Span, Vm};
 
-/// How much longer than its grace a daemon is waited for.
+/// How long to wait for a daemon's exit beyond its grace period.
 const STOP_SLACK: Duration = Duration::from_secs(1);
-/// Until a server that leaves may end: the platform's bound, and a little more.
+/// Time until a server that leaves may end: the platform's bound and 500 ms more.
 const LEAVE_TIME: Duration = Duration::from_millis(2500);
 
-/// How long a server is in need at the least: until the bound holds, and a window.
+/// Minimum time that a server keeps a rate limit: until the limit is enforced,
+/// and one window of the check.
 const MIN_LIMIT_TIME: Duration = Duration::from_secs(8);
-/// The requests a second that servers in need take.
+/// Rate limits that servers name, in requests per second.
 const SERVER_RATES: [f64; 4] = [0.0, 0.8, 4.5, 15.0];
 
-/// How long a server is away that a request has crashed.
+/// How long a server stays down after a deadly request crashed it.
 const CRASH_DOWNTIME: Duration = Duration::from_secs(1);
 
-/// The kinds of faults and of planned work.
+/// A fault or a planned operation.
+///
+/// The names are printed in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Kill,
@@ -38,15 +41,15 @@
     HangUp,
     Cut(Mode),
     Store(Trouble),
-    /// The backend server crashes and is back, perhaps under its id.
+    /// The backend server crashes and restarts, with the same id or a new one.
     Crash {
         same_id: bool,
     },
-    /// The backend server leaves as planned, and another one comes.
+    /// The backend server announces that it leaves and is replaced.
     Replace,
-    /// The same, but only its answers say so.
+    /// The backend server is replaced, and only its answers say that it leaves.
     Slip,
-    /// The backend server names how many requests a second it takes.
+    /// The backend server names a rate limit in its answers.
     Need,
     Configure {
         count: u32,
@@ -78,29 +81,29 @@
     Fault::Configure { count: 3 },
 ];
 
-/// A version of the configuration, and when it was acknowledged.
+/// A configuration version and when the store accepted it.
 pub(crate) type AcceptedVersion = (u64, Instant);
 
-/// All that faults act on.
+/// Everything that faults act on, and the log of the faults.
 pub(crate) struct World {
     pub(crate) vms: Vec<Vm>,
     pub(crate) proxies: Vec<Proxy>,
     pub(crate) backends: Vec<tokio::sync::Mutex<Backend>>,
     pub(crate) store: Arc<RowsStandIn>,
     pub(crate) versions: Mutex<Vec<AcceptedVersion>>,
-    /// When the store was disturbed.
+    /// When the store had a fault.
     pub(crate) store_faults: Mutex<Vec<Span>>,
-    /// When an acknowledgement came that a VM's server leaves, and when
-    /// another server was there.
+    /// By VM: when the leaving of its server was acknowledged, and when the
+    /// server was shut down.
     pub(crate) departures: Mutex<Vec<(usize, Instant, Instant)>>,
-    /// What was done, for people.
+    /// The injected faults, for the report.
     pub(crate) fault_log: Mutex<Vec<(Instant, String)>>,
-    /// What broke at once.
+    /// Failures found while the faults are injected.
     pub(crate) failures: Mutex<Vec<String>>,
 }
 
 impl World {
-    /// Sends a version to the store, which acknowledges it.
+    /// Writes the next configuration version to the store.
     pub(crate) fn publish_version(&self) {
         let mut versions = self.versions.lock();
         let version = versions.last().map_or(1, |(version, _)| version + 1);
@@ -114,7 +117,7 @@
         self.fault_log.lock().push((Instant::now(), text));
     }
 
-    /// Injects one fault and waits until it is over.
+    /// Injects one fault and waits until it has ended.
     async fn inject(&self, vm: usize, fault: Fault, time: Duration) {
         self.log_fault(vm, fault);
         match fault {
@@ -215,7 +218,7 @@
         self.vms[vm].end_disturbance(index);
     }
 
-    /// Starts the server of a VM again whenever a request has crashed it.
+    /// Restarts the backend server of a VM whenever a deadly request crashes it.
     pub(crate) async fn restart_crashed(&self, vm: usize) {
         loop {
             let crash = self.backends[vm].lock().await.wait_for_crash();
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Lets a server be in need, whatever else happens to its VM.
+    /// Makes a server name a rate limit for a while; other faults of its VM may overlap.
     async fn limit_rate(&self, vm: usize, time: Duration) {
         let rate = SERVER_RATES[time.as_millis() as usize % SERVER_RATES.len()];
         let began = self.backends[vm].lock().await.begin_limit(rate);
@@ -256,7 +259,7 @@
             tokio::time::sleep(LEAVE_TIME).await;
         }
         let left = backend.leave_ack();
-        // From here on connections to the former server are closed.
+        // Closes the connections to the old server.
         let index = self.vms[vm].begin_disturbance();
         backend.crash();
         if let Some(left) = left {
@@ -275,7 +278,9 @@
     }
 }
 
-/// Injects faults until `end`, one VM having one at a time.
+/// Injects faults until `end`, at most one at a time for each VM.
+///
+/// Rate limits and faults of the store are not counted among those of a VM.
 pub(crate) async fn inject_faults(world: &Arc<World>, seed: u64, end: Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let busy = Arc::new(Mutex::new(vec![false; world.vms.len()]));
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,7 +1,7 @@
-//! A soak of the real programs: daemons as processes on loopback, against a
-//! stand-in of the store, backend servers and callers of this process, with
-//! faults from outside. What callers and backend servers see is held against
-//! what is promised.
+//! Soak test: runs the real daemons as processes on loopback and injects faults.
+//!
+//! The store, the backend servers and the callers run in this process. What
+//! callers and backend servers observe is checked against the promises.
 //!
 //! `cargo build --release && cargo run --release --example soak -- --seed 7`
 
@@ -44,15 +44,15 @@
 use rows::RowsStandIn;
 use vm::Vm;
 
-/// Callers beside each VM.
+/// Number of sequential callers of each VM's daemon.
 const CALLERS_PER_VM: usize = 4;
-/// Until the daemons know each other, and after the last fault.
+/// Time for the daemons to discover each other, and to recover after the last fault.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// The time after the settling in which nearly all must be served.
+/// The window after recovery in which at least `MIN_SERVED_SHARE` must be served.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(2);
-/// Least share that is served then.
+/// Minimum share of requests served in `RECOVERY_WINDOW`.
 const MIN_SERVED_SHARE: f64 = 0.9;
-/// Broken promises that are printed whole.
+/// Number of broken promises that are printed in detail.
 const MAX_PRINTED: usize = 10;
 
 /// Runs real daemons under random faults and checks what is promised.
@@ -78,7 +78,7 @@
     runtime.block_on(soak(&args))
 }
 
-/// Returns the program that is built beside this one.
+/// Returns the path of the daemon built into the same target directory.
 fn default_daemon_path() -> eyre::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let dir = own.ancestors().nth(2).unwrap_or(Path::new("."));
@@ -89,7 +89,7 @@
     let binary = args.daemon.clone().map_or_else(default_daemon_path, Ok)?;
     let address = free_address_on(Ipv4Addr::LOCALHOST.into())?;
     let (store, listening) = RowsStandIn::start(address).await;
-    // It answers as long as the process lives.
+    // Dropping the handle would stop the store.
     std::mem::forget(listening);
     let mut world = World {
         vms: Vec::new(),
@@ -186,7 +186,7 @@
     (good as f64) < all as f64 * MIN_SERVED_SHARE
 }
 
-/// Prints what was done and what broke.
+/// Prints the number of faults and the broken promises, with the faults near them.
 fn report(args: &Args, world: &World, record: &Record, start: Instant, violations: &[Violation]) {
     let (good, all) = count_served(record, start, Instant::now());
     let fault_log = world.fault_log.lock();
--- a/examples/soak/notices.rs
+++ b/examples/soak/notices.rs
@@ -1,5 +1,7 @@
-//! What servers say of themselves with their answers, and whether it is obeyed:
-//! counted by the servers, by the VM at which a request began.
+//! Notices that servers attach to their answers: rate limits and leaving.
+//!
+//! The checks compare the requests that a server received with the notices that
+//! the VM of the caller had relayed before.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,34 +15,35 @@
 use crate::record::{RequestRecord, Run};
 use crate::vm::{Vm, overlaps_any};
 
-/// The header by which the soak's servers tell their runs apart.
+/// The header that identifies the run of a backend server.
 pub(crate) const RUN_HEADER: &str = "x-soak-run";
-/// The window in which requests to a server in need are counted.
+/// The window in which requests to a server with a rate limit are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long an entry that was told may take to obey.
+/// How long a daemon may take to apply a limit that it relayed.
 const OBEY_DELAY: Duration = Duration::from_millis(500);
-/// What a limit allows of a window: a multiple, and a slack on top.
+/// Tolerance on a rate limit: a factor, and a number of requests on top.
 const LIMIT_SHARE: f64 = 1.5;
 const LIMIT_SLACK: f64 = 5.0;
 
-/// One run of a server: its VM, and when it started in Unix milliseconds.
+/// One run of a server: its VM and its start in Unix milliseconds.
 pub(crate) type RunKey = (usize, u64);
 
-/// A need of one run.
+/// A rate limit that a run named in its answers.
 #[derive(Clone, Copy, Debug)]
 struct RateLimit {
+    /// Requests per second.
     rate: f64,
-    /// When it was first named in an answer.
+    /// When an answer first named it.
     first_seen: Instant,
     /// When the last answer named it.
     last: Instant,
     is_over: bool,
 }
 
-/// When a VM passed a word of a run on, in order.
+/// When a VM relayed the notices of a run, in order of time.
 type RelayTimes = HashMap<(RunKey, usize), Vec<Instant>>;
 
-/// The words of all runs, and when which VM passed them on.
+/// The rate limits of all runs, and when each VM relayed their notices.
 #[derive(Debug, Default)]
 pub(crate) struct Notices {
     rate_limits: Mutex<HashMap<RunKey, Vec<RateLimit>>>,
@@ -49,7 +52,7 @@
 }
 
 impl Notices {
-    /// Notes that a run names a rate with an answer.
+    /// Records that an answer of a run names a rate limit.
     pub(crate) fn record_limit(&self, run: RunKey, rate: f64) {
         let now = Instant::now();
         let mut rate_limits = self.rate_limits.lock();
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Notes that a run is no longer in need.
+    /// Records that a run no longer has a rate limit.
     pub(crate) fn record_recovery(&self, run: RunKey) {
         if let Some(limit) = self
             .rate_limits
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Notes what a VM passes on with the headers of an answer.
+    /// Records the notices in the headers of an answer that a VM relayed.
     pub(crate) fn record_relay(&self, vm: usize, headers: &HeaderMap) {
         let text = headers.get(RUN_HEADER).and_then(|run| run.to_str().ok());
         let Some(run) = text.and_then(parse_run_key) else {
@@ -101,7 +104,7 @@
     }
 }
 
-/// Writes the name of a run.
+/// Formats a run key for `RUN_HEADER`.
 pub(crate) fn format_run_key((vm, start_ms): RunKey) -> String {
     format!("{vm}-{start_ms}")
 }
@@ -111,9 +114,11 @@
     Some((vm.parse().ok()?, start_ms.parse().ok()?))
 }
 
-/// Tells whether a VM that passed a word on at some of these times is bound by it
-/// at `at`: it was told `before` or earlier, and nothing that excuses it happened to
-/// it since.
+/// Returns whether a VM that relayed a notice at the times in `relays` must obey
+/// it at `at`.
+///
+/// It must if it relayed the notice at least `before` earlier and its daemon has
+/// had neither a fault nor a planned stop since.
 fn is_bound(vm: &Vm, relays: Option<&Vec<Instant>>, at: Instant, before: Duration) -> bool {
     let relays = relays.map_or(&[][..], Vec::as_slice);
     let count = relays.partition_point(|relay| *relay + before <= at);
@@ -123,7 +128,8 @@
     !overlaps_any(&vm.daemon_faults.lock(), *last, at) && !overlaps_any(&vm.stops.lock(), *last, at)
 }
 
-/// Finds a run that got more than it had named of VMs that had been told.
+/// LIMIT: a run received more requests than its rate limit allows from VMs that
+/// had to obey it.
 pub(crate) fn limit_violations<'s>(
     world: &World,
     notices: &Notices,
@@ -171,8 +177,8 @@
     violations
 }
 
-/// Finds that a request reached a run which had said, by the same VM, that it
-/// leaves.
+/// DRAIN: a request reached a run too long after the same VM had relayed that the
+/// run leaves.
 pub(crate) fn leaving_violation(
     world: &World,
     notices: &Notices,
--- a/examples/soak/pipeliner.rs
+++ b/examples/soak/pipeliner.rs
@@ -1,4 +1,4 @@
-//! A caller that sends several reads before the first is answered.
+//! A caller that pipelines reads on one connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::estate::READ_PATH;
 use crate::record::{Outcome, Record};
 
-/// Requests that are sent at once.
+/// Number of requests that are sent at once.
 const BATCH_SIZE: usize = 3;
 /// Pause between the last answer and the next requests.
 const PAUSE: Duration = Duration::from_millis(100);
-/// How the ids of such requests begin.
+/// First character of the ids of pipelined requests.
 const ID_PREFIX: char = 'p';
 
-/// Tells whether a request is one of several that were sent at once.
+/// Returns whether a request was pipelined.
 pub(crate) fn is_pipelined(id: &str) -> bool {
     id.starts_with(ID_PREFIX)
 }
 
-/// Sends requests to the daemon of a VM until `stop` is told.
+/// Sends batches of requests to the daemon of a VM until `stop` is set.
 pub(crate) async fn pipeline(
     (vm, callers): (usize, SocketAddr),
     record: Arc<Record>,
@@ -56,7 +56,9 @@
     stream.ok()?.ok().map(BufReader::new)
 }
 
-/// Sends requests and takes their answers, which come in the same order.
+/// Sends a batch of requests and reads the answers, which arrive in the same order.
+///
+/// Returns `None` if the connection fails; `unanswered` then holds the rest.
 async fn exchange(
     stream: &mut BufReader<TcpStream>,
     batch: &[String],
--- a/examples/soak/proxy.rs
+++ b/examples/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, silences, cuts one way or resets connections.
+//! A loopback proxy that delays, drops or resets the traffic of connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +11,23 @@
 use tokio::sync::watch;
 
 /// What the proxy does to connections.
+///
+/// The names are printed in reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
     #[default]
     Pass,
-    /// Holds each piece back.
+    /// Delays each chunk.
     Delay(Duration),
-    /// Passes nothing on, on connections of before and new ones.
+    /// Drops all data, on existing and new connections.
     Silent,
-    /// Passes requests on, and no answers.
+    /// Forwards requests and drops answers.
     OneWay,
-    /// Closes all connections and takes none.
+    /// Closes all connections and accepts none.
     Reset,
 }
 
-/// The proxy before one daemon.
+/// The proxy in front of one daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     mode: Arc<Mutex<Mode>>,
@@ -96,7 +98,7 @@
         let now = *mode.lock();
         match now {
             Mode::Delay(time) => tokio::time::sleep(time).await,
-            // What has been lost once makes a connection useless for good.
+            // Dropped data can't be made up for, so the connection stays silent.
             Mode::Silent => silent = true,
             Mode::OneWay => silent |= answers,
             Mode::Pass | Mode::Reset => {}
--- a/examples/soak/record.rs
+++ b/examples/soak/record.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers saw of each request.
+//! Record of what callers and backend servers observed of each request.
 
 use std::collections::HashMap;
 
@@ -15,32 +15,32 @@
     /// The run of the backend server.
     pub(crate) server: RunKey,
     pub(crate) service: &'static str,
-    /// The service that the request is said to come from.
+    /// The service that the daemon names as the request's origin.
     pub(crate) origin: String,
     pub(crate) at: Instant,
-    /// When the work ended, by itself or since the connection closed.
+    /// When the work ended, by completion or because the connection closed.
     pub(crate) end_time: Option<Instant>,
-    /// Whether the backend server said that it has not run the request.
+    /// Whether the backend server rejected the request without running it.
     pub(crate) rejected: bool,
-    /// Whether method, path and body were those that were sent.
+    /// Whether method, path and body arrived as they were sent.
     pub(crate) unchanged: bool,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// An answer came: its status, whether it bears a server's signature, and
-    /// whether it is whole and belongs to the request.
+    /// An answer arrived: its status, whether it carries a server's signature,
+    /// and whether it is complete and belongs to the request.
     Answered {
         status: u16,
         signed: bool,
         fits: bool,
     },
-    /// The connection ended without a whole answer.
+    /// The connection ended, or the caller's wait did, without a complete answer.
     Cut,
     /// No connection could be made.
     Unreached,
-    /// The caller left early.
+    /// The caller disconnected early.
     Left,
 }
 
@@ -50,7 +50,7 @@
     /// The VM of the caller.
     pub(crate) vm: usize,
     pub(crate) path: &'static str,
-    /// The number of the request, if it is deadly.
+    /// The number of the deadly request; `None` for ordinary ones.
     pub(crate) deadly: Option<u64>,
     pub(crate) at: Instant,
     pub(crate) outcome: Option<(Instant, Outcome)>,
@@ -61,13 +61,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     pub(crate) requests: Mutex<HashMap<String, RequestRecord>>,
-    /// The crashes of servers under deadly requests, by the request's number.
+    /// Server crashes, each with the number of the deadly request that caused it.
     pub(crate) crashes: Mutex<Vec<(u64, Instant)>>,
-    /// Ids of requests that were not deadly, and were held like one.
+    /// Ids of ordinary requests that were held like a deadly one.
     pub(crate) held_ids: Mutex<Vec<String>>,
-    /// Runs of requests that nobody sent.
+    /// Ids of runs that no caller had requested.
     pub(crate) unknown_ids: Mutex<Vec<String>>,
-    /// What servers said of themselves.
     pub(crate) notices: Notices,
 }
 
@@ -94,7 +93,7 @@
         self.crashes.lock().push((deadly, Instant::now()));
     }
 
-    /// Notes a run; returns its place among those of the request.
+    /// Adds a run and returns its index among the runs of the request.
     pub(crate) fn record_run(&self, id: &str, run: Run) -> usize {
         match self.requests.lock().get_mut(id) {
             Some(request) => {
--- a/examples/soak/vm.rs
+++ b/examples/soak/vm.rs
@@ -1,4 +1,4 @@
-//! The daemon of one VM as a process of its own, and what was done to it.
+//! The daemon process of one VM, and the record of its disturbances.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use crate::estate::Addresses;
 
-/// How long a daemon that was told to stop may take.
+/// How long a daemon may take to stop after SIGTERM.
 pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// A span of time; one that goes on has no end.
+/// Start and end of a time span; an ongoing one has no end.
 pub(crate) type Span = (Instant, Option<Instant>);
 
 /// The signals that the soak sends.
@@ -46,11 +46,12 @@
     settings: PathBuf,
     log: PathBuf,
     child: Mutex<Option<Child>>,
-    /// When it was disturbed without a plan: killed, paused, cut, restarted.
+    /// Faults of the VM: its daemon was killed, paused or cut off, or its backend
+    /// server restarted.
     pub(crate) disturbances: Mutex<Vec<Span>>,
-    /// When its daemon was killed, paused or cut.
+    /// Faults of the daemon alone: it was killed, paused or cut off.
     pub(crate) daemon_faults: Mutex<Vec<Span>>,
-    /// When its daemon was told to stop, and when it had.
+    /// Planned stops, from SIGTERM to the exit of the daemon.
     pub(crate) stops: Mutex<Vec<Span>>,
 }
 
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Starts the daemon; its lines go to a file beside the settings.
+    /// Starts the daemon, with its output in a log file next to the settings.
     pub(crate) fn start(&self) -> eyre::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.binary)
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the daemon, by the id of the process started here.
+    /// Sends a signal to the daemon process.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = self.child.lock().as_ref().map(Child::id);
         if let Some(id) = id {
@@ -98,12 +99,12 @@
                 .stderr(Stdio::null())
                 .status();
             if !sent.is_ok_and(|status| status.success()) {
-                eprintln!("{} was not sent to {id}", signal.name());
+                eprintln!("failed to send {} to process {id}", signal.name());
             }
         }
     }
 
-    /// Waits until the daemon has ended; returns whether it did in time.
+    /// Waits for the daemon to exit; returns whether it did within `timeout`.
     pub(crate) async fn wait_for_exit(&self, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         while Instant::now() < end {
@@ -120,7 +121,7 @@
         false
     }
 
-    /// Tells whether the daemon runs.
+    /// Returns whether the daemon is running.
     pub(crate) fn is_running(&self) -> bool {
         match self.child.lock().as_mut() {
             Some(child) => matches!(child.try_wait(), Ok(None)),
@@ -128,21 +129,21 @@
         }
     }
 
-    /// Notes that a disturbance of the daemon itself lasted from `since` on.
+    /// Records a fault of the daemon itself from `since` until now.
     pub(crate) fn record_daemon_fault(&self, since: Instant) {
         self.daemon_faults
             .lock()
             .push((since, Some(Instant::now())));
     }
 
-    /// Notes that a disturbance begins; returns its place.
+    /// Records the start of a disturbance and returns its index.
     pub(crate) fn begin_disturbance(&self) -> usize {
         let mut disturbances = self.disturbances.lock();
         disturbances.push((Instant::now(), None));
         disturbances.len() - 1
     }
 
-    /// Notes that a disturbance has ended.
+    /// Records the end of the disturbance with this index.
     pub(crate) fn end_disturbance(&self, index: usize) {
         if let Some(span) = self.disturbances.lock().get_mut(index) {
             span.1 = Some(Instant::now());
@@ -159,7 +160,7 @@
     }
 }
 
-/// Tells whether any span touches the time from `from` to `to`.
+/// Returns whether any span overlaps the time from `from` to `to`.
 pub(crate) fn overlaps_any(spans: &[Span], from: Instant, to: Instant) -> bool {
     let mut spans = spans.iter();
     spans.any(|(begin, end)| *begin <= to && end.is_none_or(|end| end >= from))
