--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -20,34 +20,34 @@
 use bytes::Bytes;
 use http::{HeaderValue, Request};
 use http_body_util::Full;
-use support::{one_of_each, server};
+use support::{find_server, start_site};
 
 /// Size of an answer, in bytes.
-const ANSWER: usize = 600;
+const ANSWER_BYTES: usize = 600;
 /// Calls of the two runs that are compared.
-const FEW: u32 = 100;
-const MANY: u32 = 600;
+const FEW_CALLS: u32 = 100;
+const MANY_CALLS: u32 = 600;
 /// Time that the daemons rest in the runs that are compared for rest.
-const REST: Duration = Duration::from_millis(100);
+const IDLE_TIME: Duration = Duration::from_millis(100);
 /// The second-level cache that is simulated, as on a small VM.
-const LAST_LEVEL: &str = "--LL=1048576,16,64";
+const CACHE_OPTION: &str = "--LL=1048576,16,64";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum CallPath {
     Direct,
     Local,
     Hop,
     Refused,
-    Rest,
+    Idle,
 }
 
-impl Way {
+impl CallPath {
     const ALL: [Self; 5] = [
         Self::Direct,
         Self::Local,
         Self::Hop,
         Self::Refused,
-        Self::Rest,
+        Self::Idle,
     ];
 
     const fn name(self) -> &'static str {
@@ -56,13 +56,13 @@
             Self::Local => "local",
             Self::Hop => "hop",
             Self::Refused => "refused",
-            Self::Rest => "rest",
+            Self::Idle => "rest",
         }
     }
 }
 
 /// Events of one run, in the order of callgrind's summary.
-type Events = Vec<f64>;
+type EventCounts = Vec<f64>;
 
 fn main() -> eyre::Result<()> {
     let args: Vec<String> = std::env::args().collect();
@@ -70,53 +70,59 @@
         let at = args.iter().position(|arg| arg == name)?;
         args.get(at + 1).cloned()
     };
-    if let Some(way) = option("--way") {
-        let way = Way::ALL.into_iter().find(|known| known.name() == way);
-        let way = way.ok_or_else(|| eyre::eyre!("--way is direct, local, hop, refused or rest"))?;
-        let calls = option("--calls").map_or(Ok(FEW), |calls| calls.parse())?;
-        return make_calls(way, calls);
+    if let Some(path) = option("--way") {
+        let path = CallPath::ALL.into_iter().find(|known| known.name() == path);
+        let path =
+            path.ok_or_else(|| eyre::eyre!("--way is direct, local, hop, refused or rest"))?;
+        let calls = option("--calls").map_or(Ok(FEW_CALLS), |calls| calls.parse())?;
+        return run_calls(path, calls);
     }
-    table()
+    print_table()
 }
 
 /// Prints what a call takes, by way.
-fn table() -> eyre::Result<()> {
+fn print_table() -> eyre::Result<()> {
     println!("way instructions l1i_misses l1d_misses last_level_misses");
-    let mut direct = Events::new();
-    for way in Way::ALL {
-        let (few, many) = (events(way, FEW)?, events(way, MANY)?);
-        let calls = f64::from(MANY - FEW);
-        let mut each: Events = many
+    let mut direct = EventCounts::new();
+    for path in CallPath::ALL {
+        let (few, many) = (
+            count_events(path, FEW_CALLS)?,
+            count_events(path, MANY_CALLS)?,
+        );
+        let calls = f64::from(MANY_CALLS - FEW_CALLS);
+        let mut per_call: EventCounts = many
             .iter()
             .zip(&few)
             .map(|(m, f)| (m - f) / calls)
             .collect();
-        match way {
-            Way::Direct => direct.clone_from(&each),
-            Way::Local | Way::Hop => each.iter_mut().zip(&direct).for_each(|(e, d)| *e -= d),
-            Way::Refused | Way::Rest => {}
+        match path {
+            CallPath::Direct => direct.clone_from(&per_call),
+            CallPath::Local | CallPath::Hop => {
+                per_call.iter_mut().zip(&direct).for_each(|(e, d)| *e -= d)
+            }
+            CallPath::Refused | CallPath::Idle => {}
         }
         // Ir Dr Dw I1mr D1mr D1mw ILmr DLmr DLmw
         println!(
             "{} {:.0} {:.0} {:.0} {:.0}",
-            way.name(),
-            each[0],
-            each[3],
-            each[4] + each[5],
-            each[6] + each[7] + each[8]
+            path.name(),
+            per_call[0],
+            per_call[3],
+            per_call[4] + per_call[5],
+            per_call[6] + per_call[7] + per_call[8]
         );
     }
     Ok(())
 }
 
 /// Runs this program under callgrind and reads its summary.
-fn events(way: Way, calls: u32) -> eyre::Result<Events> {
-    let out = std::env::temp_dir().join(format!("calls.{}.{}", std::process::id(), way.name()));
+fn count_events(path: CallPath, calls: u32) -> eyre::Result<EventCounts> {
+    let out = std::env::temp_dir().join(format!("calls.{}.{}", std::process::id(), path.name()));
     let status = Command::new("valgrind")
-        .args(["--tool=callgrind", "--cache-sim=yes", LAST_LEVEL, "-q"])
+        .args(["--tool=callgrind", "--cache-sim=yes", CACHE_OPTION, "-q"])
         .arg(format!("--callgrind-out-file={}", out.display()))
         .arg(std::env::current_exe()?)
-        .args(["--way", way.name(), "--calls", &calls.to_string()])
+        .args(["--way", path.name(), "--calls", &calls.to_string()])
         .status()?;
     eyre::ensure!(status.success(), "valgrind failed: {status}");
     let text = std::fs::read_to_string(&out)?;
@@ -129,37 +135,37 @@
         .collect::<Result<_, _>>()?)
 }
 
-fn make_calls(way: Way, calls: u32) -> eyre::Result<()> {
+fn run_calls(path: CallPath, calls: u32) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(run(way, calls))?;
+    runtime.block_on(run(path, calls))?;
     // Daemons have threads of their own, which need not be waited for.
     std::process::exit(0)
 }
 
-async fn run(way: Way, calls: u32) -> eyre::Result<()> {
-    let site = one_of_each(ANSWER).await?;
-    let status = server(&site, "station-status");
-    let other = server(&site, "forecast-archive");
-    let (address, host) = match way {
-        Way::Direct => (status.daemon.shared().config.backend, "station-status"),
-        Way::Local => (status.callers, "station-status"),
-        Way::Hop => (other.callers, "station-status"),
-        Way::Refused => (other.callers, "no-such-service"),
-        Way::Rest => {
-            tokio::time::sleep(REST * calls).await;
+async fn run(path: CallPath, calls: u32) -> eyre::Result<()> {
+    let site = start_site(ANSWER_BYTES).await?;
+    let status = find_server(&site, "station-status");
+    let other = find_server(&site, "forecast-archive");
+    let (address, host) = match path {
+        CallPath::Direct => (status.daemon.shared().config.backend, "station-status"),
+        CallPath::Local => (status.callers, "station-status"),
+        CallPath::Hop => (other.callers, "station-status"),
+        CallPath::Refused => (other.callers, "no-such-service"),
+        CallPath::Idle => {
+            tokio::time::sleep(IDLE_TIME * calls).await;
             return Ok(());
         }
     };
     let client = Client::new(Duration::from_secs(60), 1 << 20);
     for _ in 0..calls {
-        one_call(&client, address, host).await?;
+        send_call(&client, address, host).await?;
     }
     Ok(())
 }
 
-async fn one_call(client: &Client, address: SocketAddr, host: &'static str) -> eyre::Result<()> {
+async fn send_call(client: &Client, address: SocketAddr, host: &'static str) -> eyre::Result<()> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = format!("http://{address}/").parse()?;
     request
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -13,7 +13,7 @@
 use bramleymount::emulator::{Behaviour, Site};
 use bramleymount::store::Fault;
 
-const QUIET: Duration = Duration::from_secs(10);
+const MEASURE_TIME: Duration = Duration::from_secs(10);
 
 fn main() -> eyre::Result<()> {
     let sizes: Vec<u32> = match std::env::args().skip(1).find(|a| a.parse::<u32>().is_ok()) {
@@ -27,13 +27,13 @@
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
-        runtime.block_on(run(size))?;
+        runtime.block_on(measure_size(size))?;
         runtime.shutdown_background();
     }
     std::process::exit(0)
 }
 
-async fn run(size: u32) -> eyre::Result<()> {
+async fn measure_size(size: u32) -> eyre::Result<()> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
     let memory = memory_mb();
     let mut estate = Site::estate(&dir, 2, 0.1)?;
@@ -47,14 +47,14 @@
     let count = site.servers.len() as f64;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (bytes, cpu, counts) = (loopback_bytes(), cpu::cpu_seconds(), site.platform.counts());
-    tokio::time::sleep(QUIET).await;
-    let secs = QUIET.as_secs_f64();
+    tokio::time::sleep(MEASURE_TIME).await;
+    let secs = MEASURE_TIME.as_secs_f64();
     let bytes = (loopback_bytes() - bytes) / secs / count;
     let cpu = (cpu::cpu_seconds() - cpu) / secs / count * 100.0;
     let later = site.platform.counts();
     let rate = |a: u64, b: u64| (b - a) as f64 / secs / count * 1000.0;
-    let up = change(&mut site, None).await?;
-    let down = change(&mut site, Some(Fault::Down)).await?;
+    let up = measure_change(&mut site, None).await?;
+    let down = measure_change(&mut site, Some(Fault::Down)).await?;
     println!(
         "{count:>7} {up:>12.0} {down:>14.0} {bytes:>14.0} {cpu:>19.3} {:>12.1} {:>13.1} {:>13.2}",
         rate(counts.reads, later.reads),
@@ -66,7 +66,7 @@
 
 /// Applies a change and returns the milliseconds until the last daemon runs
 /// it; the platform fails right after it was accepted if `fault` is set.
-async fn change(site: &mut Site, fault: Option<Fault>) -> eyre::Result<f64> {
+async fn measure_change(site: &mut Site, fault: Option<Fault>) -> eyre::Result<f64> {
     if let Some(service) = site.estate.services.values_mut().next() {
         service.connections = bramleymount::model::Connections::new(service.connections.get() + 1);
     }
@@ -75,12 +75,12 @@
     if let Some(fault) = fault {
         site.platform.set_fault(fault);
     }
-    let behind = |site: &Site| {
+    let is_outdated = |site: &Site| {
         site.servers
             .iter()
             .any(|s| s.daemon.shared().current.version() < version)
     };
-    while behind(site) && start.elapsed() < Duration::from_secs(60) {
+    while is_outdated(site) && start.elapsed() < Duration::from_secs(60) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     site.platform.set_fault(Fault::None);
--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -12,16 +12,16 @@
 use bytes::Bytes;
 use http::{HeaderValue, Request};
 use http_body_util::Full;
-use support::{one_of_each, server};
+use support::{find_server, start_site};
 
-const CALLERS: usize = 32;
+const CALLER_COUNT: usize = 32;
 /// Size of an answer, in bytes.
-const ANSWER: usize = 600;
+const ANSWER_BYTES: usize = 600;
 /// Rounds of which the least is taken: what else runs only adds.
-const ROUNDS: usize = 3;
+const ROUND_COUNT: usize = 3;
 
 /// Time that the calls of one round are made for.
-const ROUND: Duration = Duration::from_secs(2);
+const ROUND_TIME: Duration = Duration::from_secs(2);
 
 fn main() -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -32,18 +32,18 @@
 }
 
 async fn run() -> eyre::Result<()> {
-    let site = one_of_each(ANSWER).await?;
-    let find = |name: &str| server(&site, name);
+    let site = start_site(ANSWER_BYTES).await?;
+    let find = |name: &str| find_server(&site, name);
     let status = find("station-status");
     let other = find("forecast-archive");
     let backend = status.daemon.shared().config.backend;
     let mut least = [f64::MAX; 3];
-    for _ in 0..ROUNDS {
+    for _ in 0..ROUND_COUNT {
         for (n, address) in [backend, status.callers, other.callers]
             .into_iter()
             .enumerate()
         {
-            least[n] = least[n].min(micros_a_call(address).await);
+            least[n] = least[n].min(micros_per_call(address).await);
         }
     }
     let [direct, local, hop] = least;
@@ -53,20 +53,20 @@
     Ok(())
 }
 
-async fn micros_a_call(address: SocketAddr) -> f64 {
-    let busy = cpu_seconds();
-    let end = Instant::now() + ROUND;
-    let tasks: Vec<_> = (0..CALLERS)
-        .map(|_| tokio::spawn(caller(address, end)))
+async fn micros_per_call(address: SocketAddr) -> f64 {
+    let cpu_start = cpu_seconds();
+    let end = Instant::now() + ROUND_TIME;
+    let tasks: Vec<_> = (0..CALLER_COUNT)
+        .map(|_| tokio::spawn(run_caller(address, end)))
         .collect();
     let mut calls = 0;
     for task in tasks {
         calls += task.await.expect("a caller");
     }
-    (cpu_seconds() - busy) / f64::from(calls) * 1e6
+    (cpu_seconds() - cpu_start) / f64::from(calls) * 1e6
 }
 
-async fn caller(address: SocketAddr, end: Instant) -> u32 {
+async fn run_caller(address: SocketAddr, end: Instant) -> u32 {
     let client = Client::new(Duration::from_secs(10), 1 << 20);
     let mut calls = 0;
     while Instant::now() < end {
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -16,8 +16,8 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-const CALLS: u64 = 200_000;
-const SERVICES: usize = 210;
+const CALL_COUNT: u64 = 200_000;
+const SERVICE_COUNT: usize = 210;
 
 fn main() {
     println!("servers threads ns_per_call");
@@ -42,7 +42,7 @@
 fn measure(servers: usize, seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let now = Instant::now();
-    let mut tables: Vec<Table> = (0..SERVICES).map(|_| table(servers)).collect();
+    let mut tables: Vec<Table> = (0..SERVICE_COUNT).map(|_| build_table(servers)).collect();
     let settings = Settings {
         slots: Slots::new(100),
         cold: false,
@@ -50,18 +50,18 @@
     };
     let mut admission = Admission::new(now, settings);
     let start = Clock::now();
-    for call in 0..CALLS {
+    for call in 0..CALL_COUNT {
         let root = RootId::new(rng.random());
         let priority = Priority::new(ClassRank::new(1), Depth::new(1), root);
         let mut account = RetryAccount::new(Retries::new(3));
-        let loan = account.grant();
-        let table = &mut tables[call as usize % SERVICES];
-        let want = CallNeeds {
+        let grant = account.grant();
+        let table = &mut tables[call as usize % SERVICE_COUNT];
+        let needs = CallNeeds {
             level: priority.level(),
             protected: false,
             avoid: None,
         };
-        if let Pick::Target(target) = table.choose(now, want, &mut rng) {
+        if let Pick::Target(target) = table.choose(now, needs, &mut rng) {
             table.report(
                 now,
                 target,
@@ -70,7 +70,7 @@
         }
         let token = CallToken(call);
         let deadline = now + std::time::Duration::from_secs(1);
-        let waiting = QueuedCall {
+        let queued_call = QueuedCall {
             token,
             priority,
             workspace: None,
@@ -78,16 +78,16 @@
             expires: deadline,
             may_wait: true,
         };
-        if admission.arrive(now, waiting).0 == Decision::Start {
+        if admission.arrive(now, queued_call).0 == Decision::Start {
             black_box(admission.finish(now, token, Outcome::Answered));
         }
-        account.reclaim(loan.id, loan.retries);
+        account.reclaim(grant.id, grant.retries);
         black_box(account.close());
     }
-    start.elapsed().as_nanos() as f64 / CALLS as f64
+    start.elapsed().as_nanos() as f64 / CALL_COUNT as f64
 }
 
-fn table(servers: usize) -> Table {
+fn build_table(servers: usize) -> Table {
     let own: CentreName = "own".parse().expect("a name");
     let mut table = Table::new(own.clone());
     let targets = (0..servers).map(|n| {
--- a/benches/hop.rs
+++ b/benches/hop.rs
@@ -18,15 +18,15 @@
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request};
 use http_body_util::Full;
-use support::{one_of_each, server};
+use support::{find_server, start_site};
 
-const CALLERS: usize = 64;
-const CALLS: usize = 150;
+const CALLER_COUNT: usize = 64;
+const CALLS_PER_CALLER: usize = 150;
 /// Time that a caller waits between two calls, so that latency is not that of
 /// a full machine.
-const THINK: Duration = Duration::from_millis(20);
-const ANSWER: usize = 1024;
-const CAPTURE: usize = 256 * 1024 * 1024;
+const THINK_TIME: Duration = Duration::from_millis(20);
+const ANSWER_BYTES: usize = 1024;
+const CAPTURE_BYTES: usize = 256 * 1024 * 1024;
 
 fn main() -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -38,20 +38,20 @@
 }
 
 async fn run() -> eyre::Result<()> {
-    let site = one_of_each(ANSWER).await?;
-    let find = |name: &str| server(&site, name);
+    let site = start_site(ANSWER_BYTES).await?;
+    let find = |name: &str| find_server(&site, name);
     let status = find("station-status");
     let other = find("forecast-archive");
     let backend = status.daemon.shared().config.backend;
     let mut rounds = Vec::new();
     // The three ways take turns, so that the machine's moods meet all alike.
     for _ in 0..3 {
-        let direct = load(backend, THINK).await;
-        let local = load(status.callers, THINK).await;
-        let hop = load(other.callers, THINK).await;
+        let direct = run_load(backend, THINK_TIME).await;
+        let local = run_load(status.callers, THINK_TIME).await;
+        let hop = run_load(other.callers, THINK_TIME).await;
         rounds.push((direct, local, hop));
     }
-    let median = |get: fn(&(Figures, Figures, Figures)) -> f64| {
+    let median = |get: fn(&(LoadResult, LoadResult, LoadResult)) -> f64| {
         let mut values: Vec<f64> = rounds.iter().map(get).collect();
         values.sort_by(f64::total_cmp);
         values[values.len() / 2]
@@ -63,23 +63,23 @@
     println!("local_added_p50_us {:.0}", median(|r| r.1.p50 - r.0.p50));
     println!("hop_added_p50_us {:.0}", median(|r| r.2.p50 - r.0.p50));
     // Without pauses, for throughput; callers and backend server are counted.
-    let full = load(other.callers, Duration::ZERO).await;
+    let full = run_load(other.callers, Duration::ZERO).await;
     println!("calls_per_core_s {:.0}", full.per_core);
-    println!("rss_mb {:.1}", idle_daemon()?);
-    capture(find("magnetometer-ingest").callers, other.callers).await
+    println!("rss_mb {:.1}", idle_daemon_mb()?);
+    measure_capture(find("magnetometer-ingest").callers, other.callers).await
 }
 
 #[derive(Clone, Copy)]
-struct Figures {
+struct LoadResult {
     p50: f64,
     p99: f64,
     per_core: f64,
 }
 
-async fn load(address: SocketAddr, think: Duration) -> Figures {
+async fn run_load(address: SocketAddr, think_time: Duration) -> LoadResult {
     let busy = cpu::cpu_seconds();
-    let tasks: Vec<_> = (0..CALLERS)
-        .map(|_| tokio::spawn(caller(address, think)))
+    let tasks: Vec<_> = (0..CALLER_COUNT)
+        .map(|_| tokio::spawn(run_caller(address, think_time)))
         .collect();
     let mut times = Vec::new();
     for task in tasks {
@@ -88,28 +88,28 @@
     let busy = cpu::cpu_seconds() - busy;
     times.sort_by(f64::total_cmp);
     let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
-    Figures {
+    LoadResult {
         p50: at(0.5),
         p99: at(0.99),
         per_core: times.len() as f64 / busy.max(1e-6),
     }
 }
 
-async fn caller(address: SocketAddr, think: Duration) -> Vec<f64> {
+async fn run_caller(address: SocketAddr, think_time: Duration) -> Vec<f64> {
     let client = Client::new(Duration::from_secs(10), 1 << 20);
-    let mut times = Vec::with_capacity(CALLS);
-    for n in 0..CALLS {
+    let mut times = Vec::with_capacity(CALLS_PER_CALLER);
+    for n in 0..CALLS_PER_CALLER {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = format!("http://{address}/").parse().expect("a URI");
         request
             .headers_mut()
             .insert("host", HeaderValue::from_static("station-status"));
         let spread = 0.5 + rand::random::<f64>();
-        tokio::time::sleep(think.mul_f64(spread)).await;
+        tokio::time::sleep(think_time.mul_f64(spread)).await;
         let start = Instant::now();
         let answer = client.send(request).await.expect("an answer");
         assert!(
-            answer.status.is_success() && answer.body.len() == ANSWER,
+            answer.status.is_success() && answer.body.len() == ANSWER_BYTES,
             "{answer:?}"
         );
         // The first calls make connections.
@@ -133,7 +133,7 @@
     kb.unwrap_or(0.0) / 1024.0
 }
 
-fn idle_daemon() -> eyre::Result<f64> {
+fn idle_daemon_mb() -> eyre::Result<f64> {
     let text = format!(
         "data_centre: a\nhall: a\nservice: s\nlisten:\n  callers: {}\n  peers: {}\n  operators: {}\n\
          backend: {}\nplatform: {}\n",
@@ -157,17 +157,17 @@
 }
 
 /// Sends one large capture through two daemons, in chunks made as they go.
-async fn capture(_own: SocketAddr, entry: SocketAddr) -> eyre::Result<()> {
+async fn measure_capture(_own: SocketAddr, entry: SocketAddr) -> eyre::Result<()> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let before = memory_mb("self", "VmHWM");
     let mut stream = tokio::net::TcpStream::connect(entry).await?;
     let head = format!(
-        "{} /captures/1 HTTP/1.1\r\nhost: magnetometer-ingest\r\ncontent-length: {CAPTURE}\r\nconnection: close\r\n\r\n",
+        "{} /captures/1 HTTP/1.1\r\nhost: magnetometer-ingest\r\ncontent-length: {CAPTURE_BYTES}\r\nconnection: close\r\n\r\n",
         Method::PUT
     );
     stream.write_all(head.as_bytes()).await?;
     let chunk = vec![7; 256 * 1024];
-    for _ in 0..CAPTURE / chunk.len() {
+    for _ in 0..CAPTURE_BYTES / chunk.len() {
         stream.write_all(&chunk).await?;
     }
     let mut answer = Vec::new();
@@ -176,7 +176,7 @@
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     println!(
         "capture_mb {} peak_growth_mb {:.1}",
-        CAPTURE >> 20,
+        CAPTURE_BYTES >> 20,
         memory_mb("self", "VmHWM") - before
     );
     Ok(())
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -15,10 +15,10 @@
 use bramleymount::tables::TargetTables;
 use tokio::time::Instant;
 
-const CENTRES: usize = 5;
-const ROUNDS: u32 = 200;
+const CENTRE_COUNT: usize = 5;
+const ROUND_COUNT: u32 = 200;
 /// Members told in one message.
-const PAGE: usize = 256;
+const PAGE_SIZE: usize = 256;
 
 fn main() -> eyre::Result<()> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
@@ -34,55 +34,57 @@
 
 fn measure(estate: &Estate, members: usize) -> [f64; 6] {
     let services: Vec<&ServiceName> = estate.services.keys().collect();
-    let of = |number: usize, beat: u64| member(number, beat, services[number % services.len()]);
+    let member_at = |number: usize, incarnation: u64| {
+        member(number, incarnation, services[number % services.len()])
+    };
     let now = Instant::now();
-    let mut view = View::new(now, of(0, 1));
-    view.merge_all(now, (1..members).map(|number| of(number, 1)));
-    let mut beat = 1;
-    let change = micros(|| {
-        beat += 1;
-        view.merge(now, of(members - 1, beat));
+    let mut view = View::new(now, member_at(0, 1));
+    view.merge_all(now, (1..members).map(|number| member_at(number, 1)));
+    let mut incarnation = 1;
+    let change = mean_micros(|| {
+        incarnation += 1;
+        view.merge(now, member_at(members - 1, incarnation));
     });
     let routes = TargetTables::new(centre(0), None, Balance::default());
     [
         change,
-        micros(|| {
+        mean_micros(|| {
             black_box(neighbours(&view));
         }),
-        micros(|| {
+        mean_micros(|| {
             black_box(is_delegate(&view));
         }),
-        micros(|| {
-            black_box(view.page(ChangeCount::default(), PAGE, &[]));
+        mean_micros(|| {
+            black_box(view.page(ChangeCount::default(), PAGE_SIZE, &[]));
         }),
-        micros(|| routes.update(estate, &view)),
-        micros(|| {
+        mean_micros(|| routes.update(estate, &view)),
+        mean_micros(|| {
             black_box(HashRing::new(&view));
         }),
     ]
 }
 
 /// Returns the mean time of a call, in microseconds.
-fn micros(mut call: impl FnMut()) -> f64 {
+fn mean_micros(mut call: impl FnMut()) -> f64 {
     let start = Clock::now();
-    for _ in 0..ROUNDS {
+    for _ in 0..ROUND_COUNT {
         call();
     }
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUND_COUNT)
 }
 
 fn centre(number: usize) -> CentreName {
-    let name = format!("dc-{}", number % CENTRES);
+    let name = format!("dc-{}", number % CENTRE_COUNT);
     name.parse().expect("a name")
 }
 
-fn member(number: usize, beat: u64, service: &ServiceName) -> Member {
+fn member(number: usize, incarnation: u64, service: &ServiceName) -> Member {
     let address = format!("10.{}.{}.1:8300@1", number / 250, number % 250);
     Member {
         instance: address.parse().expect("an instance"),
         centre: centre(number),
         service: service.clone(),
-        incarnation: Incarnation(beat),
+        incarnation: Incarnation(incarnation),
         state: MemberState::Serving,
         slots: None,
     }
