--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -1,14 +1,14 @@
-//! Instructions, cache misses and bytes allocated for a call, by the way it goes.
+//! Instructions and cache misses of a call, by the path it takes.
 //!
 //! Counts come from `valgrind --tool=callgrind` (system package `valgrind`), so
 //! they repeat to a few in a thousand on a busy machine too. The program runs
-//! itself under it, once with few calls and once with many: the difference is
-//! what the calls took, without start and end. Callers, backend servers and
-//! daemons share the process, so the direct call is taken off each other way;
-//! a call that is refused costs no backend server, so nothing is taken off it.
+//! itself under it with few calls and with many; the difference excludes start
+//! and shutdown. Callers, backend servers and daemons share the process, so the
+//! counts of a direct call are subtracted from those of the local and hop paths.
+//! Nothing is subtracted from a refused call, which reaches no backend server.
 //!
-//! `cargo bench --bench calls` prints the table; `-- --way hop --calls 100`
-//! makes calls only, for other tools.
+//! `cargo bench --bench calls` prints the table; `-- --way hop --calls 100` only
+//! makes calls, for use with other tools.
 
 mod support;
 
@@ -24,15 +24,18 @@
 
 /// Size of an answer, in bytes.
 const ANSWER_BYTES: usize = 600;
-/// Calls of the two runs that are compared.
+/// Number of calls in the shorter of the two compared runs.
 const FEW_CALLS: u32 = 100;
+/// Number of calls in the longer of the two compared runs.
 const MANY_CALLS: u32 = 600;
-/// Time that the daemons rest in the runs that are compared for rest.
+/// Time that the idle path waits in place of each call.
 const IDLE_TIME: Duration = Duration::from_millis(100);
-/// The second-level cache that is simulated, as on a small VM.
+/// Size, associativity and line size of the simulated last-level cache, as on a
+/// small VM.
 const CACHE_OPTION: &str = "--LL=1048576,16,64";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The path that a call takes.
 enum CallPath {
     Direct,
     Local,
@@ -61,7 +64,7 @@
     }
 }
 
-/// Events of one run, in the order of callgrind's summary.
+/// Event counts of one run, in the order of callgrind's summary.
 type EventCounts = Vec<f64>;
 
 fn main() -> eyre::Result<()> {
@@ -73,14 +76,14 @@
     if let Some(path) = option("--way") {
         let path = CallPath::ALL.into_iter().find(|known| known.name() == path);
         let path =
-            path.ok_or_else(|| eyre::eyre!("--way is direct, local, hop, refused or rest"))?;
+            path.ok_or_else(|| eyre::eyre!("--way must be direct, local, hop, refused or rest"))?;
         let calls = option("--calls").map_or(Ok(FEW_CALLS), |calls| calls.parse())?;
         return run_calls(path, calls);
     }
     print_table()
 }
 
-/// Prints what a call takes, by way.
+/// Prints the counts per call, by path.
 fn print_table() -> eyre::Result<()> {
     println!("way instructions l1i_misses l1d_misses last_level_misses");
     let mut direct = EventCounts::new();
@@ -115,7 +118,7 @@
     Ok(())
 }
 
-/// Runs this program under callgrind and reads its summary.
+/// Runs this program under callgrind and returns the totals of its summary.
 fn count_events(path: CallPath, calls: u32) -> eyre::Result<EventCounts> {
     let out = std::env::temp_dir().join(format!("calls.{}.{}", std::process::id(), path.name()));
     let status = Command::new("valgrind")
@@ -140,7 +143,7 @@
         .enable_all()
         .build()?;
     runtime.block_on(run(path, calls))?;
-    // Daemons have threads of their own, which need not be waited for.
+    // Exits without waiting for the daemons' own threads.
     std::process::exit(0)
 }
 
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,8 +1,8 @@
-//! Control at growing numbers of daemons: time for a change to reach the last
-//! one, bytes and processor time per daemon, platform requests.
+//! Cost of control traffic by the number of daemons: time for a change to reach
+//! the last one, bytes and CPU time per daemon, platform requests.
 //!
-//! The daemons run their real tasks in one process, without backend load. The
-//! bytes are those of loopback as the kernel counts them, headers included.
+//! The daemons run their real tasks in one process, without backend load. Bytes
+//! are the kernel's count for loopback, headers included.
 
 #[path = "support/cpu.rs"]
 mod cpu;
@@ -13,6 +13,7 @@
 use bramleymount::emulator::{Behaviour, Site};
 use bramleymount::store::Fault;
 
+/// How long idle daemons are measured.
 const MEASURE_TIME: Duration = Duration::from_secs(10);
 
 fn main() -> eyre::Result<()> {
@@ -64,8 +65,9 @@
     Ok(())
 }
 
-/// Applies a change and returns the milliseconds until the last daemon runs
-/// it; the platform fails right after it was accepted if `fault` is set.
+/// Applies a change and returns the milliseconds until the last daemon runs it.
+///
+/// If `fault` is set, the platform fails right after it accepted the change.
 async fn measure_change(site: &mut Site, fault: Option<Fault>) -> eyre::Result<f64> {
     if let Some(service) = site.estate.services.values_mut().next() {
         service.connections = bramleymount::model::Connections::new(service.connections.get() + 1);
--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -1,7 +1,7 @@
-//! Processor time that a call takes, by the way it goes.
+//! CPU time of a call, by the path it takes.
 //!
-//! Callers, backend servers and daemons share one process, so the direct call
-//! is measured as well and taken off: what is left is the daemons' own.
+//! Callers, backend servers and daemons share one process, so the time of a
+//! direct call is subtracted to get the daemons' own.
 
 mod support;
 
@@ -14,13 +14,13 @@
 use http_body_util::Full;
 use support::{find_server, start_site};
 
+/// Number of concurrent callers.
 const CALLER_COUNT: usize = 32;
 /// Size of an answer, in bytes.
 const ANSWER_BYTES: usize = 600;
-/// Rounds of which the least is taken: what else runs only adds.
+/// Number of rounds; the minimum counts, since other processes only add time.
 const ROUND_COUNT: usize = 3;
-
-/// Time that the calls of one round are made for.
+/// Duration of the calls of one round.
 const ROUND_TIME: Duration = Duration::from_secs(2);
 
 fn main() -> eyre::Result<()> {
@@ -53,6 +53,7 @@
     Ok(())
 }
 
+/// Returns the mean CPU time of a call, in microseconds.
 async fn micros_per_call(address: SocketAddr) -> f64 {
     let cpu_start = cpu_seconds();
     let end = Instant::now() + ROUND_TIME;
@@ -61,7 +62,7 @@
         .collect();
     let mut calls = 0;
     for task in tasks {
-        calls += task.await.expect("a caller");
+        calls += task.await.expect("caller task finishes");
     }
     (cpu_seconds() - cpu_start) / f64::from(calls) * 1e6
 }
@@ -71,17 +72,17 @@
     let mut calls = 0;
     while Instant::now() < end {
         let mut request = Request::new(Full::new(Bytes::new()));
-        *request.uri_mut() = format!("http://{address}/").parse().expect("a URI");
+        *request.uri_mut() = format!("http://{address}/").parse().expect("valid URI");
         request
             .headers_mut()
             .insert("host", HeaderValue::from_static("station-status"));
-        let answer = client.send(request).await.expect("an answer");
+        let answer = client.send(request).await.expect("call is answered");
         calls += u32::from(answer.status.is_success());
     }
     calls
 }
 
-/// Processor time of this process, in seconds.
+/// Returns the CPU time of this process, in seconds.
 fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanos = stat
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,4 @@
-//! Cost of the three decisions on a call: admit, route and account.
+//! Cost of the three decisions on a call: admission, routing and retry accounting.
 
 use std::hint::black_box;
 use std::time::Instant as Clock;
@@ -29,7 +29,7 @@
                     .collect();
                 handles
                     .into_iter()
-                    .map(|h| h.join().expect("a thread"))
+                    .map(|h| h.join().expect("thread finishes"))
                     .collect()
             });
             let mean = nanos.iter().sum::<f64>() / nanos.len() as f64;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns nanoseconds per call over tables of 210 services.
+/// Returns the nanoseconds per call over tables of `SERVICE_COUNT` services.
 fn measure(servers: usize, seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let now = Instant::now();
@@ -88,12 +88,12 @@
 }
 
 fn build_table(servers: usize) -> Table {
-    let own: CentreName = "own".parse().expect("a name");
+    let own: CentreName = "own".parse().expect("valid name");
     let mut table = Table::new(own.clone());
     let targets = (0..servers).map(|n| {
         let address = format!("10.0.{}.{}:1", n / 250, n % 250 + 1)
             .parse()
-            .expect("an address");
+            .expect("valid address");
         let instance = Instance::new(address, StartStamp::new(1, 1));
         Target::new(instance, own.clone(), Slots::new(70))
     });
--- a/benches/hop.rs
+++ b/benches/hop.rs
@@ -1,8 +1,8 @@
-//! The same call direct, through the daemon of the same VM, and through two.
+//! Latency of the same call direct, through the daemon of the same VM, and through
+//! two daemons.
 //!
-//! Memory of an idle daemon is that of `bramleymountd` as a process. A large
-//! capture passes last, with the peak of this process's memory before and
-//! after.
+//! Also measures the memory of an idle `bramleymountd` process, and how much the
+//! peak memory of this process grows during a large upload.
 
 #[path = "support/cpu.rs"]
 mod cpu;
@@ -20,10 +20,11 @@
 use http_body_util::Full;
 use support::{find_server, start_site};
 
+/// Number of concurrent callers.
 const CALLER_COUNT: usize = 64;
 const CALLS_PER_CALLER: usize = 150;
-/// Time that a caller waits between two calls, so that latency is not that of
-/// a full machine.
+/// Mean pause of a caller between two calls, so that latency isn't that of a
+/// saturated machine.
 const THINK_TIME: Duration = Duration::from_millis(20);
 const ANSWER_BYTES: usize = 1024;
 const CAPTURE_BYTES: usize = 256 * 1024 * 1024;
@@ -44,7 +45,7 @@
     let other = find("forecast-archive");
     let backend = status.daemon.shared().config.backend;
     let mut rounds = Vec::new();
-    // The three ways take turns, so that the machine's moods meet all alike.
+    // The three paths alternate, so that changes in machine load affect all alike.
     for _ in 0..3 {
         let direct = run_load(backend, THINK_TIME).await;
         let local = run_load(status.callers, THINK_TIME).await;
@@ -62,7 +63,7 @@
     println!("direct_p50_us {:.0}", median(|r| r.0.p50));
     println!("local_added_p50_us {:.0}", median(|r| r.1.p50 - r.0.p50));
     println!("hop_added_p50_us {:.0}", median(|r| r.2.p50 - r.0.p50));
-    // Without pauses, for throughput; callers and backend server are counted.
+    // Throughput without pauses; the CPU time includes callers and backend server.
     let full = run_load(other.callers, Duration::ZERO).await;
     println!("calls_per_core_s {:.0}", full.per_core);
     println!("rss_mb {:.1}", idle_daemon_mb()?);
@@ -83,7 +84,7 @@
         .collect();
     let mut times = Vec::new();
     for task in tasks {
-        times.extend(task.await.expect("a caller"));
+        times.extend(task.await.expect("caller task finishes"));
     }
     let busy = cpu::cpu_seconds() - busy;
     times.sort_by(f64::total_cmp);
@@ -100,19 +101,19 @@
     let mut times = Vec::with_capacity(CALLS_PER_CALLER);
     for n in 0..CALLS_PER_CALLER {
         let mut request = Request::new(Full::new(Bytes::new()));
-        *request.uri_mut() = format!("http://{address}/").parse().expect("a URI");
+        *request.uri_mut() = format!("http://{address}/").parse().expect("valid URI");
         request
             .headers_mut()
             .insert("host", HeaderValue::from_static("station-status"));
         let spread = 0.5 + rand::random::<f64>();
         tokio::time::sleep(think_time.mul_f64(spread)).await;
         let start = Instant::now();
-        let answer = client.send(request).await.expect("an answer");
+        let answer = client.send(request).await.expect("call is answered");
         assert!(
             answer.status.is_success() && answer.body.len() == ANSWER_BYTES,
             "{answer:?}"
         );
-        // The first calls make connections.
+        // The first calls open connections.
         if n >= 20 {
             times.push(start.elapsed().as_secs_f64() * 1e6);
         }
@@ -133,6 +134,7 @@
     kb.unwrap_or(0.0) / 1024.0
 }
 
+/// Returns the resident memory of an idle daemon, in MB.
 fn idle_daemon_mb() -> eyre::Result<f64> {
     let text = format!(
         "data_centre: a\nhall: a\nservice: s\nlisten:\n  callers: {}\n  peers: {}\n  operators: {}\n\
@@ -156,7 +158,7 @@
     Ok(memory)
 }
 
-/// Sends one large capture through two daemons, in chunks made as they go.
+/// Streams one large upload through two daemons and prints the growth of peak memory.
 async fn measure_capture(_own: SocketAddr, entry: SocketAddr) -> eyre::Result<()> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let before = memory_mb("self", "VmHWM");
--- a/benches/members.rs
+++ b/benches/members.rs
@@ -1,4 +1,4 @@
-//! Work of one daemon for the members of its estate, by their number.
+//! Time that one daemon spends on the members of its estate, by their number.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -15,9 +15,11 @@
 use bramleymount::tables::TargetTables;
 use tokio::time::Instant;
 
+/// Number of data centres that members are spread over.
 const CENTRE_COUNT: usize = 5;
+/// Number of calls of which the mean is taken.
 const ROUND_COUNT: u32 = 200;
-/// Members told in one message.
+/// Number of members in one message.
 const PAGE_SIZE: usize = 256;
 
 fn main() -> eyre::Result<()> {
@@ -64,7 +66,7 @@
     ]
 }
 
-/// Returns the mean time of a call, in microseconds.
+/// Returns the mean duration of a call, in microseconds.
 fn mean_micros(mut call: impl FnMut()) -> f64 {
     let start = Clock::now();
     for _ in 0..ROUND_COUNT {
@@ -75,13 +77,13 @@
 
 fn centre(number: usize) -> CentreName {
     let name = format!("dc-{}", number % CENTRE_COUNT);
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 fn member(number: usize, incarnation: u64, service: &ServiceName) -> Member {
     let address = format!("10.{}.{}.1:8300@1", number / 250, number % 250);
     Member {
-        instance: address.parse().expect("an instance"),
+        instance: address.parse().expect("valid instance"),
         centre: centre(number),
         service: service.clone(),
         incarnation: Incarnation(incarnation),
--- a/benches/support/cpu.rs
+++ b/benches/support/cpu.rs
@@ -1,6 +1,6 @@
-//! Processor time of the process that runs a bench.
+//! CPU time of the bench process.
 
-/// Returns processor time of this process, in seconds.
+/// Returns the CPU time of this process, in seconds.
 pub(crate) fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -1,11 +1,12 @@
-//! What the benches of real daemons share.
+//! Set-up shared by the benches of real daemons.
 
 use std::path::Path;
 
 use bramleymount::emulator::{Behaviour, Server, Site};
 
-/// Starts one server of each of three services in one process, so that it is
-/// known which way a call takes; answers have `answer` bytes.
+/// Starts one server for each of three services, whose answers have `answer_bytes`.
+///
+/// A single server per service makes the path of each call known.
 pub(crate) async fn start_site(answer_bytes: usize) -> eyre::Result<Site> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
     let mut estate = Site::estate(&dir, 2, 1.0)?;
@@ -30,9 +31,9 @@
 ///
 /// # Panics
 ///
-/// Panics if there is none.
+/// Panics if the site has no such server.
 pub(crate) fn find_server<'s>(site: &'s Site, name: &str) -> &'s Server {
     let mut all = site.servers.iter();
     all.find(|server| server.service.as_str() == name)
-        .expect("a server")
+        .expect("service has a server")
 }
