--- a/benches/overload/main.rs
+++ b/benches/overload/main.rs
@@ -10,7 +10,7 @@
 mod variant;
 mod world;
 
-use measure::Line;
+use measure::RunSummary;
 use scenario::Scenario;
 use variant::Variant;
 use world::World;
@@ -18,40 +18,43 @@
 fn main() -> eyre::Result<()> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let json = args.iter().any(|a| a == "--json");
-    let only = value(&args, "--scenario");
-    let variant = value(&args, "--variant");
-    let seed = value(&args, "--seed").map_or(Ok(1), |s| s.parse())?;
-    let mut lines = Vec::new();
+    let scenario_name = option_value(&args, "--scenario");
+    let variant_name = option_value(&args, "--variant");
+    let seed = option_value(&args, "--seed").map_or(Ok(1), |s| s.parse())?;
+    let mut summaries = Vec::new();
     if !json {
-        println!("{}", Line::HEADER);
+        println!("{}", RunSummary::HEADER);
     }
     for scenario in Scenario::all() {
-        if only.as_deref().is_some_and(|name| name != scenario.name) {
+        if scenario_name
+            .as_deref()
+            .is_some_and(|name| name != scenario.name)
+        {
             continue;
         }
         for variant in Variant::all().into_iter().filter(|v| {
-            variant
+            variant_name
                 .as_deref()
                 .map_or(!v.ablation, |name| name == "all" || name == v.name)
         }) {
             let mut world = World::new(&scenario, variant, seed);
             world.run();
-            let line = measure::measure(&scenario, variant, &world);
+            let summary = measure::summarize(&scenario, variant, &world);
             if json {
-                println!("{}", serde_json::to_string(&line)?);
+                println!("{}", serde_json::to_string(&summary)?);
             } else {
-                println!("{line}");
+                println!("{summary}");
             }
-            lines.push(line);
+            summaries.push(summary);
         }
     }
-    if let Some(path) = value(&args, "--plot") {
-        plot::plot(&path, &lines)?;
+    if let Some(path) = option_value(&args, "--plot") {
+        plot::draw(&path, &summaries)?;
     }
     Ok(())
 }
 
-fn value(args: &[String], name: &str) -> Option<String> {
-    let place = args.iter().position(|a| a == name)?;
-    args.get(place + 1).cloned()
+fn option_value(args: &[String], name: &str) -> Option<String> {
+    let index = args.iter().position(|a| a == name)?;
+    args.get(index + 1).cloned()
 }
--- a/benches/overload/measure.rs
+++ b/benches/overload/measure.rs
@@ -4,17 +4,17 @@
 
 use serde::Serialize;
 
-use crate::scenario::{AFTER, LENGTH, START, Scenario};
+use crate::scenario::{AFTER_SECONDS, DISTURBANCE_SECONDS, START_SECONDS, Scenario};
 use crate::variant::Variant;
 use crate::world::World;
 
 /// Length of the windows in which goodput is compared, in seconds.
-const WINDOW: f64 = 0.2;
+const WINDOW_SECONDS: f64 = 0.2;
 /// Share of the demand answered whole that counts as back to normal.
-const NORMAL: f64 = 0.95;
+const MIN_RECOVERED_SHARE: f64 = 0.95;
 
 #[derive(Serialize)]
-pub(crate) struct Line {
+pub(crate) struct RunSummary {
     pub(crate) scenario: &'static str,
     pub(crate) variant: &'static str,
     /// Whole requests a second during the disturbance.
@@ -31,11 +31,11 @@
     pub(crate) curve: Vec<f64>,
 }
 
-impl Line {
+impl RunSummary {
     pub(crate) const HEADER: &'static str = "scenario variant        goodput    limit  ratio recovery_s wasted_ratio retries_max important_shed_early";
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for RunSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -53,41 +53,41 @@
     }
 }
 
-pub(crate) fn measure(scenario: &Scenario, variant: Variant, world: &World) -> Line {
-    let end = START + LENGTH;
-    let whole = world
-        .whole
+pub(crate) fn summarize(scenario: &Scenario, variant: Variant, world: &World) -> RunSummary {
+    let end = START_SECONDS + DISTURBANCE_SECONDS;
+    let complete = world
+        .completions
         .iter()
-        .filter(|t| (START..end).contains(*t))
+        .filter(|t| (START_SECONDS..end).contains(*t))
         .count() as f64;
-    let goodput = whole / LENGTH;
-    let limit = limit(scenario, world);
-    Line {
+    let goodput = complete / DISTURBANCE_SECONDS;
+    let limit = max_goodput(scenario, world);
+    RunSummary {
         scenario: scenario.name,
         variant: variant.name,
         goodput,
         limit,
         ratio: goodput / limit,
-        recovery_s: recovery(world, end),
-        wasted_ratio: world.wasted_ms() / world.worked_ms.max(1e-9),
+        recovery_s: recovery_seconds(world, end),
+        wasted_ratio: world.wasted_ms() / world.total_work_ms.max(1e-9),
         retries_max: world.retries_max(),
         important_shed_early: world.shed_early,
-        curve: curve(&world.whole),
+        curve: goodput_curve(&world.completions),
     }
 }
 
 /// The lesser of demand and the capacity of the bottleneck.
-fn limit(scenario: &Scenario, world: &World) -> f64 {
-    let demand = scenario.rate * scenario.disturb.demand;
+fn max_goodput(scenario: &Scenario, world: &World) -> f64 {
+    let demand = scenario.rate * scenario.disturbance.demand_factor;
     demand.min(world.bottleneck_capacity())
 }
 
-fn curve(whole: &[f64]) -> Vec<f64> {
-    let count = ((START + LENGTH + AFTER) / WINDOW) as usize;
+fn goodput_curve(completions: &[f64]) -> Vec<f64> {
+    let count = ((START_SECONDS + DISTURBANCE_SECONDS + AFTER_SECONDS) / WINDOW_SECONDS) as usize;
     let mut curve = vec![0.0; count];
-    for time in whole {
-        if let Some(window) = curve.get_mut((time / WINDOW) as usize) {
-            *window += 1.0 / WINDOW;
+    for time in completions {
+        if let Some(window) = curve.get_mut((time / WINDOW_SECONDS) as usize) {
+            *window += 1.0 / WINDOW_SECONDS;
         }
     }
     curve
@@ -95,18 +95,19 @@
 
 /// Time from `end` until, for good, the requests sent in a window are answered
 /// whole as usual.
-fn recovery(world: &World, end: f64) -> f64 {
-    let count = ((AFTER - 1.5) / WINDOW) as usize;
+fn recovery_seconds(world: &World, end: f64) -> f64 {
+    let count = ((AFTER_SECONDS - 1.5) / WINDOW_SECONDS) as usize;
     let mut sent = vec![0u32; count];
-    let mut whole = vec![0u32; count];
-    for (time, answered) in world.asked.iter().filter(|(time, _)| *time >= end) {
-        let window = ((time - end) / WINDOW) as usize;
+    let mut complete = vec![0u32; count];
+    for (time, is_complete) in world.requests.iter().filter(|(time, _)| *time >= end) {
+        let window = ((time - end) / WINDOW_SECONDS) as usize;
         if window < count {
             sent[window] += 1;
-            whole[window] += u32::from(*answered);
+            complete[window] += u32::from(*is_complete);
         }
     }
-    let normal = |w: &usize| f64::from(whole[*w]) >= f64::from(sent[*w]) * NORMAL;
-    let last = (0..count).rev().find(|w| !normal(w));
-    last.map_or(0.0, |w| (w + 1) as f64 * WINDOW)
+    let is_recovered =
+        |w: &usize| f64::from(complete[*w]) >= f64::from(sent[*w]) * MIN_RECOVERED_SHARE;
+    let last = (0..count).rev().find(|w| !is_recovered(w));
+    last.map_or(0.0, |w| (w + 1) as f64 * WINDOW_SECONDS)
 }
--- a/benches/overload/plot.rs
+++ b/benches/overload/plot.rs
@@ -3,8 +3,8 @@
 use eyre::eyre;
 use plotters::prelude::*;
 
-use crate::measure::Line;
-use crate::scenario::{AFTER, LENGTH, START};
+use crate::measure::RunSummary;
+use crate::scenario::{AFTER_SECONDS, DISTURBANCE_SECONDS, START_SECONDS};
 
 const COLOURS: [RGBColor; 5] = [
     RGBColor(200, 60, 60),
@@ -14,30 +14,30 @@
     RGBColor(130, 80, 160),
 ];
 
-pub(crate) fn plot(path: &str, lines: &[Line]) -> eyre::Result<()> {
-    let mut names: Vec<&str> = lines.iter().map(|l| l.scenario).collect();
+pub(crate) fn draw(path: &str, summaries: &[RunSummary]) -> eyre::Result<()> {
+    let mut names: Vec<&str> = summaries.iter().map(|l| l.scenario).collect();
     names.dedup();
     let rows = names.len().div_ceil(2).max(1);
     let root = SVGBackend::new(path, (1100, 300 * rows as u32)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| eyre!("{e}"))?;
     for (area, name) in root.split_evenly((rows, 2)).iter().zip(&names) {
-        let shown: Vec<&Line> = lines.iter().filter(|l| l.scenario == *name).collect();
-        panel(area, name, &shown)?;
+        let shown: Vec<&RunSummary> = summaries.iter().filter(|l| l.scenario == *name).collect();
+        draw_panel(area, name, &shown)?;
     }
     root.present().map_err(|e| eyre!("{e}"))
 }
 
-fn panel(
+fn draw_panel(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     name: &str,
-    lines: &[&Line],
+    summaries: &[&RunSummary],
 ) -> eyre::Result<()> {
-    let top = lines
+    let max_goodput = summaries
         .iter()
         .flat_map(|l| &l.curve)
         .copied()
         .fold(1.0, f64::max);
-    let end = START + LENGTH + AFTER;
+    let end = START_SECONDS + DISTURBANCE_SECONDS + AFTER_SECONDS;
     let mut chart = ChartBuilder::on(area)
         .caption(
             format!("{name}: whole requests a second"),
@@ -46,16 +46,16 @@
         .margin(10)
         .x_label_area_size(28)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..end, 0.0..top * 1.1)
+        .build_cartesian_2d(0.0..end, 0.0..max_goodput * 1.1)
         .map_err(|e| eyre!("{e}"))?;
     chart
         .configure_mesh()
         .x_desc("seconds; disturbance from 3 to 13")
         .draw()
         .map_err(|e| eyre!("{e}"))?;
-    for (line, colour) in lines.iter().zip(COLOURS.iter().cycle()) {
-        let step = end / line.curve.len() as f64;
-        let points = line
+    for (summary, colour) in summaries.iter().zip(COLOURS.iter().cycle()) {
+        let step = end / summary.curve.len() as f64;
+        let points = summary
             .curve
             .iter()
             .enumerate()
@@ -63,7 +63,7 @@
         chart
             .draw_series(LineSeries::new(points, colour))
             .map_err(|e| eyre!("{e}"))?
-            .label(line.variant)
+            .label(summary.variant)
             .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], *colour));
     }
     chart
--- a/benches/overload/scenario.rs
+++ b/benches/overload/scenario.rs
@@ -8,7 +8,7 @@
     /// Mean time of its own work, in milliseconds.
     pub(crate) work_ms: f64,
     /// Services that each call calls, one after the other.
-    pub(crate) onward: Vec<usize>,
+    pub(crate) dependencies: Vec<usize>,
 }
 
 /// One class of requests.
@@ -20,14 +20,14 @@
 
 /// What is disturbed between `START` and `START + length`.
 #[derive(Clone, Default)]
-pub(crate) struct Disturb {
-    pub(crate) demand: f64,
+pub(crate) struct Disturbance {
+    pub(crate) demand_factor: f64,
     /// Factor on the work of the deepest service.
-    pub(crate) slow: f64,
-    pub(crate) cold: bool,
-    pub(crate) mislead: bool,
-    pub(crate) silent: bool,
-    pub(crate) cut: bool,
+    pub(crate) slowdown: f64,
+    pub(crate) cold_restarts: bool,
+    pub(crate) false_load: bool,
+    pub(crate) silent_links: bool,
+    pub(crate) partition: bool,
 }
 
 #[derive(Clone)]
@@ -37,94 +37,94 @@
     pub(crate) classes: Vec<ClassSpec>,
     /// Requests a second in calm times.
     pub(crate) rate: f64,
-    pub(crate) disturb: Disturb,
+    pub(crate) disturbance: Disturbance,
     pub(crate) deadline_ms: f64,
 }
 
 /// Seconds before, during and after the disturbance.
-pub(crate) const START: f64 = 3.0;
-pub(crate) const LENGTH: f64 = 10.0;
-pub(crate) const AFTER: f64 = 7.0;
+pub(crate) const START_SECONDS: f64 = 3.0;
+pub(crate) const DISTURBANCE_SECONDS: f64 = 10.0;
+pub(crate) const AFTER_SECONDS: f64 = 7.0;
 /// Retries of one request over its whole tree.
-pub(crate) const RETRIES: u32 = 3;
+pub(crate) const MAX_RETRIES: u32 = 3;
 /// Repeats that a caller makes of one request, without back-off.
-pub(crate) const REPEATS: u32 = 5;
+pub(crate) const MAX_CALLER_RETRIES: u32 = 5;
 
 impl Scenario {
     pub(crate) fn all() -> Vec<Self> {
-        let calm = || Disturb {
-            demand: 1.0,
-            slow: 1.0,
-            ..Disturb::default()
+        let undisturbed = || Disturbance {
+            demand_factor: 1.0,
+            slowdown: 1.0,
+            ..Disturbance::default()
         };
-        let with = |name, disturb| Self::chain(name, disturb);
+        let with = |name, disturbance| Self::chain(name, disturbance);
         vec![
             with(
                 "surge",
-                Disturb {
-                    demand: 10.0,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "slow",
-                Disturb {
-                    slow: 5.0,
-                    ..calm()
+                Disturbance {
+                    slowdown: 5.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "both",
-                Disturb {
-                    demand: 10.0,
-                    slow: 5.0,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    slowdown: 5.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "cold",
-                Disturb {
-                    demand: 10.0,
-                    cold: true,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    cold_restarts: true,
+                    ..undisturbed()
                 },
             ),
             with(
                 "mislead",
-                Disturb {
-                    mislead: true,
-                    demand: 1.5,
-                    ..calm()
+                Disturbance {
+                    false_load: true,
+                    demand_factor: 1.5,
+                    ..undisturbed()
                 },
             ),
             with(
                 "silent",
-                Disturb {
-                    silent: true,
-                    ..calm()
+                Disturbance {
+                    silent_links: true,
+                    ..undisturbed()
                 },
             ),
             with(
                 "cut",
-                Disturb {
-                    cut: true,
-                    ..calm()
+                Disturbance {
+                    partition: true,
+                    ..undisturbed()
                 },
             ),
-            Self::deep(Disturb {
-                demand: 5.0,
-                ..calm()
+            Self::deep(Disturbance {
+                demand_factor: 5.0,
+                ..undisturbed()
             }),
         ]
     }
 
     /// Four services in a row, the last one the narrowest.
-    fn chain(name: &'static str, disturb: Disturb) -> Self {
-        let service = |servers, slots, work_ms, onward: &[usize]| ServiceSpec {
+    fn chain(name: &'static str, disturbance: Disturbance) -> Self {
+        let service = |servers, slots, work_ms, dependencies: &[usize]| ServiceSpec {
             servers,
             slots,
             work_ms,
-            onward: onward.to_vec(),
+            dependencies: dependencies.to_vec(),
         };
         Self {
             name,
@@ -136,40 +136,40 @@
             ],
             classes: Self::classes(),
             rate: 1200.0,
-            disturb,
+            disturbance,
             deadline_ms: 1000.0,
         }
     }
 
     /// 29 services in a row, each of which also calls one leaf service.
-    fn deep(disturb: Disturb) -> Self {
+    fn deep(disturbance: Disturbance) -> Self {
         const DEPTH: usize = 29;
         let mut services: Vec<ServiceSpec> = (0..DEPTH - 1)
             .map(|level| ServiceSpec {
                 servers: 2,
                 slots: 120,
                 work_ms: 0.5,
-                onward: vec![DEPTH, level + 1],
+                dependencies: vec![DEPTH, level + 1],
             })
             .collect();
         services.push(ServiceSpec {
             servers: 2,
             slots: 10,
             work_ms: 20.0,
-            onward: vec![],
+            dependencies: vec![],
         });
         services.push(ServiceSpec {
             servers: 4,
             slots: 200,
             work_ms: 0.5,
-            onward: vec![],
+            dependencies: vec![],
         });
         Self {
             name: "deep",
             services,
             classes: Self::classes(),
             rate: 300.0,
-            disturb,
+            disturbance,
             deadline_ms: 2000.0,
         }
     }
--- a/benches/overload/variant.rs
+++ b/benches/overload/variant.rs
@@ -6,59 +6,59 @@
     pub(crate) name: &'static str,
     pub(crate) control: Control,
     /// Mechanisms that are switched off.
-    pub(crate) off: Off,
+    pub(crate) disabled: Disabled,
     pub(crate) ablation: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Control {
     /// Endless queues and three retries a layer.
-    None,
+    Unlimited,
     /// A fixed limit with a first-in-first-out queue of the same length, and
     /// three retries a layer.
-    Fixed,
+    FixedLimit,
     /// The decisions of this project.
-    Now,
+    Policy,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Off {
+pub(crate) enum Disabled {
     Nothing,
     /// Entries do not shed at the source.
-    Early,
+    SourceShedding,
     /// Guards do not learn of refusals further down.
-    Chain,
+    OnwardRefusals,
     /// Failing targets are not ejected.
-    Eject,
+    Ejection,
     /// Retries are not bounded by the ratio.
-    Ratio,
+    RetryRatio,
     /// A backend server that starts is taken for warm.
     SlowStart,
 }
 
 impl Variant {
     pub(crate) fn all() -> Vec<Self> {
-        let plain = |name, control| Self {
+        let full_variant = |name, control| Self {
             name,
             control,
-            off: Off::Nothing,
+            disabled: Disabled::Nothing,
             ablation: false,
         };
-        let without = |name, off| Self {
+        let ablated = |name, disabled| Self {
             name,
-            control: Control::Now,
-            off,
+            control: Control::Policy,
+            disabled,
             ablation: true,
         };
         vec![
-            plain("none", Control::None),
-            plain("fixed", Control::Fixed),
-            plain("now", Control::Now),
-            without("now-early", Off::Early),
-            without("now-chain", Off::Chain),
-            without("now-eject", Off::Eject),
-            without("now-ratio", Off::Ratio),
-            without("now-slowstart", Off::SlowStart),
+            full_variant("none", Control::Unlimited),
+            full_variant("fixed", Control::FixedLimit),
+            full_variant("now", Control::Policy),
+            ablated("now-early", Disabled::SourceShedding),
+            ablated("now-chain", Disabled::OnwardRefusals),
+            ablated("now-eject", Disabled::Ejection),
+            ablated("now-ratio", Disabled::RetryRatio),
+            ablated("now-slowstart", Disabled::SlowStart),
         ]
     }
 }
--- a/benches/overload/world/caller.rs
+++ b/benches/overload/world/caller.rs
@@ -5,17 +5,17 @@
 impl World {
     pub(super) fn arrive(&mut self) {
         let factor = if self.disturbed {
-            self.scenario.disturb.demand
+            self.scenario.disturbance.demand_factor
         } else {
             1.0
         };
-        let gap =
+        let gap_ms =
             -self.rng.random::<f64>().max(1e-12).ln() * 1000.0 / (self.scenario.rate * factor);
-        self.after(gap, Event::Arrive);
+        self.schedule_after(gap_ms, Event::Arrive);
         let mut draw: f64 = self.rng.random();
         let mut class = 0;
-        for (place, spec) in self.scenario.classes.iter().enumerate() {
-            class = place;
+        for (index, spec) in self.scenario.classes.iter().enumerate() {
+            class = index;
             draw -= spec.share;
             if draw < 0.0 {
                 break;
@@ -23,12 +23,12 @@
         }
         let entry = self.by_service[0][self.rng.random_range(0..self.by_service[0].len())];
         let deadline = self.now + self.scenario.deadline_ms;
-        let original = self.asked.len();
-        self.asked.push((self.now / 1000.0, false));
-        self.new_root(class, entry, deadline, original, 0);
+        let original = self.requests.len();
+        self.requests.push((self.now / 1000.0, false));
+        self.start_root(class, entry, deadline, original, 0);
     }
 
-    pub(super) fn new_root(
+    pub(super) fn start_root(
         &mut self,
         class: usize,
         entry: ServerId,
@@ -37,7 +37,7 @@
         repeats: u32,
     ) {
         let root = self.roots.len();
-        self.roots.push(Root {
+        self.roots.push(RootRequest {
             id: RootId::new(self.rng.random()),
             class,
             deadline,
@@ -47,45 +47,45 @@
             account: None,
             retries: 0,
             work_ms: 0.0,
-            ended: false,
-            whole: false,
+            is_ended: false,
+            is_complete: false,
         });
-        self.after(CLIENT_MS, Event::Enter(root));
-        self.at(deadline, Event::Deadline(root));
+        self.schedule_after(CLIENT_DELAY_MS, Event::Enter(root));
+        self.schedule_at(deadline, Event::Deadline(root));
     }
 
     pub(super) fn enter(&mut self, root: usize) {
-        self.roots[root].account = Some(RetryAccount::new(Retries::new(RETRIES)));
+        self.roots[root].account = Some(RetryAccount::new(Retries::new(MAX_RETRIES)));
         let entry = self.roots[root].entry;
         let call = self.new_call(root, None, 0, 0, entry);
         self.attempt(call, None);
     }
 
     /// Ends a request; a caller that was refused repeats it at once.
-    pub(super) fn end_root(&mut self, root: usize, whole: bool) {
-        if self.roots[root].ended {
+    pub(super) fn finish_root(&mut self, root: usize, is_complete: bool) {
+        if self.roots[root].is_ended {
             return;
         }
-        self.roots[root].ended = true;
-        self.roots[root].whole = whole;
+        self.roots[root].is_ended = true;
+        self.roots[root].is_complete = is_complete;
         let (class, deadline, original, repeats) = {
             let r = &self.roots[root];
             (r.class, r.deadline, r.original, r.repeats)
         };
-        let arrives = self.now + CLIENT_MS;
-        if whole && arrives <= deadline {
-            self.whole.push(arrives / 1000.0);
-            self.asked[original].1 = true;
-        } else if repeats < REPEATS && arrives + 2.0 * CLIENT_MS < deadline {
+        let arrival = self.now + CLIENT_DELAY_MS;
+        if is_complete && arrival <= deadline {
+            self.completions.push(arrival / 1000.0);
+            self.requests[original].1 = true;
+        } else if repeats < MAX_CALLER_RETRIES && arrival + 2.0 * CLIENT_DELAY_MS < deadline {
             let entries = &self.by_service[0];
             let entry = entries[self.rng.random_range(0..entries.len())];
-            self.now += CLIENT_MS;
-            self.new_root(class, entry, deadline, original, repeats + 1);
-            self.now -= CLIENT_MS;
+            self.now += CLIENT_DELAY_MS;
+            self.start_root(class, entry, deadline, original, repeats + 1);
+            self.now -= CLIENT_DELAY_MS;
         }
     }
 
-    pub(super) fn deadline(&mut self, root: usize) {
-        self.roots[root].ended = true;
+    pub(super) fn expire_root(&mut self, root: usize) {
+        self.roots[root].is_ended = true;
     }
 }
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -19,16 +19,16 @@
             entry,
             target: None,
             attempts: 0,
-            loan: None,
+            grant: None,
             account: None,
-            next: 0,
+            next_dependency: 0,
             started: 0.0,
             running: false,
-            failed: None,
-            orphan: false,
-            closed: false,
-            news: GuardStatus::default(),
-            met: Vec::new(),
+            shed_reason: None,
+            is_abandoned: false,
+            is_closed: false,
+            guard_status: GuardStatus::default(),
+            onward_outcomes: Vec::new(),
         });
         self.calls.len() - 1
     }
@@ -43,33 +43,33 @@
         self.scenario.classes[self.roots[self.calls[call].root].class].protected
     }
 
-    pub(super) fn with_account<T>(
+    pub(super) fn with_retry_account<T>(
         &mut self,
         call: CallId,
-        use_it: impl FnOnce(&mut RetryAccount) -> T,
+        operation: impl FnOnce(&mut RetryAccount) -> T,
     ) -> Option<T> {
         let c = &self.calls[call];
         let account = match c.parent {
             Some(parent) => self.calls[parent].account.as_mut(),
             None => self.roots[c.root].account.as_mut(),
         };
-        account.map(use_it)
+        account.map(operation)
     }
 
     pub(super) fn attempt(&mut self, call: CallId, avoid: Option<ServerId>) {
         let entry = self.calls[call].entry;
         let service = self.calls[call].service;
         let target = match self.variant.control {
-            Control::Now => match self.choose(call, avoid) {
+            Control::Policy => match self.choose(call, avoid) {
                 Ok(target) => target,
                 Err(level) => {
-                    self.calls[call].failed = level.map(|_| Shed::Overload);
+                    self.calls[call].shed_reason = level.map(|_| Shed::Overload);
                     return self.give_up(call);
                 }
             },
             // Without control, the server that reports the least load.
-            Control::None | Control::Fixed => {
-                let sign = if self.scenario.disturb.mislead && self.disturbed {
+            Control::Unlimited | Control::FixedLimit => {
+                let sign = if self.scenario.disturbance.false_load && self.disturbed {
                     -1.0
                 } else {
                     1.0
@@ -88,48 +88,48 @@
         let c = &mut self.calls[call];
         c.attempts += 1;
         c.target = Some(target);
-        c.next = 0;
-        c.failed = None;
-        c.met.clear();
+        c.next_dependency = 0;
+        c.shed_reason = None;
+        c.onward_outcomes.clear();
         c.account = None;
-        if self.variant.control != Control::Now {
+        if self.variant.control != Control::Policy {
             let attempt = c.attempts;
-            self.after(
-                self.scenario.deadline_ms / f64::from(LAYER_ATTEMPTS),
+            self.schedule_after(
+                self.scenario.deadline_ms / f64::from(ATTEMPTS_PER_LAYER),
                 Event::Timeout(call, attempt),
             );
         }
-        if self.variant.control == Control::Now {
-            let loan = self.with_account(call, RetryAccount::grant);
-            self.calls[call].loan = loan;
+        if self.variant.control == Control::Policy {
+            let grant = self.with_retry_account(call, RetryAccount::grant);
+            self.calls[call].grant = grant;
         }
-        let silent = self.servers[entry].silent.contains(&target);
+        let silent = self.servers[entry].silent_links.contains(&target);
         if silent {
-            self.after(SILENT_MS, Event::Lost(call));
-        } else if self.is_cut(entry, target) {
-            self.after(CONNECT_MS, Event::Lost(call));
+            self.schedule_after(SILENCE_TIMEOUT_MS, Event::ConnectionLost(call));
+        } else if self.is_partitioned(entry, target) {
+            self.schedule_after(CONNECT_TIMEOUT_MS, Event::ConnectionLost(call));
         } else {
-            self.after(self.way(entry, target), Event::At(call));
+            self.schedule_after(self.delay_ms(entry, target), Event::Reach(call));
         }
     }
 
-    pub(super) fn is_cut(&self, a: ServerId, b: ServerId) -> bool {
+    pub(super) fn is_partitioned(&self, a: ServerId, b: ServerId) -> bool {
         self.disturbed
-            && self.scenario.disturb.cut
+            && self.scenario.disturbance.partition
             && self.servers[a].centre != self.servers[b].centre
     }
 
-    pub(super) fn way(&self, a: ServerId, b: ServerId) -> f64 {
+    pub(super) fn delay_ms(&self, a: ServerId, b: ServerId) -> f64 {
         if a == b {
             0.0
         } else if self.servers[a].centre == self.servers[b].centre {
-            NEAR_MS
+            LOCAL_DELAY_MS
         } else {
-            FAR_MS
+            REMOTE_DELAY_MS
         }
     }
 
-    pub(super) fn want(&self, call: CallId, avoid: Option<ServerId>) -> CallNeeds {
+    pub(super) fn call_needs(&self, call: CallId, avoid: Option<ServerId>) -> CallNeeds {
         CallNeeds {
             level: self.priority(call).level(),
             protected: self.is_protected(call),
@@ -143,16 +143,16 @@
         avoid: Option<ServerId>,
     ) -> Result<ServerId, Option<Level>> {
         let now = self.instant();
-        let mut want = self.want(call, avoid);
-        if self.variant.off == Off::Early {
-            want.level = Level::from_raw(u32::MAX);
+        let mut needs = self.call_needs(call, avoid);
+        if self.variant.disabled == Disabled::SourceShedding {
+            needs.level = Level::from_raw(u32::MAX);
         }
         let c = &self.calls[call];
         let table = self.servers[c.entry]
             .tables
             .get_mut(&c.service)
             .expect("a table");
-        match table.choose(now, want, &mut self.rng) {
+        match table.choose(now, needs, &mut self.rng) {
             Pick::Target(instance) | Pick::Wait(instance) => Ok(self.by_instance[&instance]),
             Pick::Refused(level) => Err(Some(level)),
             Pick::NoTarget => Err(None),
@@ -161,7 +161,7 @@
 
     pub(super) fn report(&mut self, call: CallId, report: AttemptReport) {
         let now = self.instant();
-        if self.variant.off == Off::Eject && report == AttemptReport::Failed {
+        if self.variant.disabled == Disabled::Ejection && report == AttemptReport::Failed {
             return self.report(call, AttemptReport::Abandoned);
         }
         let c = &self.calls[call];
@@ -173,82 +173,83 @@
     }
 
     /// The connection went silent or could not be made; the next one is new.
-    pub(super) fn lost(&mut self, call: CallId) {
+    pub(super) fn lose_connection(&mut self, call: CallId) {
         let (entry, target) = (self.calls[call].entry, self.calls[call].target);
         if let Some(target) = target {
-            self.servers[entry].silent.remove(&target);
+            self.servers[entry].silent_links.remove(&target);
         }
-        if self.variant.control == Control::Now {
+        if self.variant.control == Control::Policy {
             self.report(call, AttemptReport::Failed);
-            if let Some(loan) = self.calls[call].loan.take() {
-                self.with_account(call, |account| account.discard(loan.id));
+            if let Some(grant) = self.calls[call].grant.take() {
+                self.with_retry_account(call, |account| account.discard(grant.id));
             }
         }
-        self.again(call, Verdict::MayHaveRun, false);
+        self.retry_or_give_up(call, Verdict::MayHaveRun, false);
     }
 
     /// Without control, a layer waits for a share of the deadline and tries
     /// again, while what it gave up goes on.
-    pub(super) fn timeout(&mut self, call: CallId, attempt: u32) {
+    pub(super) fn time_out(&mut self, call: CallId, attempt: u32) {
         let c = &self.calls[call];
-        if c.closed || c.orphan || c.attempts != attempt {
+        if c.is_closed || c.is_abandoned || c.attempts != attempt {
             return;
         }
         let (root, parent, service, depth, entry) = (c.root, c.parent, c.service, c.depth, c.entry);
-        self.calls[call].orphan = true;
-        let again = self.new_call(root, parent, service, depth, entry);
-        self.calls[again].attempts = attempt;
-        self.calls[again].target = self.calls[call].target;
-        self.again(again, Verdict::MayHaveRun, false);
+        self.calls[call].is_abandoned = true;
+        let retry = self.new_call(root, parent, service, depth, entry);
+        self.calls[retry].attempts = attempt;
+        self.calls[retry].target = self.calls[call].target;
+        self.retry_or_give_up(retry, Verdict::MayHaveRun, false);
     }
 
     /// An answer or refusal reaches the entry.
-    pub(super) fn back(&mut self, call: CallId, whole: bool) {
-        if self.calls[call].orphan || self.calls[call].closed {
+    pub(super) fn receive_answer(&mut self, call: CallId, is_complete: bool) {
+        if self.calls[call].is_abandoned || self.calls[call].is_closed {
             return;
         }
         if self.calls[call]
             .target
-            .is_some_and(|t| self.is_cut(self.calls[call].entry, t))
+            .is_some_and(|t| self.is_partitioned(self.calls[call].entry, t))
         {
-            return self.lost(call);
+            return self.lose_connection(call);
         }
-        if self.variant.control == Control::Now {
-            let news = self.calls[call].news;
-            self.report(call, AttemptReport::Responded(news));
-            let rest = match &mut self.calls[call].account {
+        if self.variant.control == Control::Policy {
+            let guard_status = self.calls[call].guard_status;
+            self.report(call, AttemptReport::Responded(guard_status));
+            let remaining = match &mut self.calls[call].account {
                 Some(account) => account.close(),
                 None => self.calls[call]
-                    .loan
-                    .map_or(Retries::new(0), |loan| loan.retries),
+                    .grant
+                    .map_or(Retries::new(0), |grant| grant.retries),
             };
-            if let Some(loan) = self.calls[call].loan.take() {
-                self.with_account(call, |account| account.reclaim(loan.id, rest));
+            if let Some(grant) = self.calls[call].grant.take() {
+                self.with_retry_account(call, |account| account.reclaim(grant.id, remaining));
             }
         }
-        if whole {
+        if is_complete {
             let key = (self.calls[call].entry, self.calls[call].service);
             self.ratios.entry(key).or_default().record_answer();
-            return self.done(call);
+            return self.complete_call(call);
         }
-        let overload = self.calls[call].failed.is_some();
+        let overload = self.calls[call].shed_reason.is_some();
         let verdict = if overload {
             Verdict::NotRun
         } else {
             Verdict::Ran
         };
-        self.again(call, verdict, overload);
+        self.retry_or_give_up(call, verdict, overload);
     }
 
-    pub(super) fn again(&mut self, call: CallId, verdict: Verdict, overload: bool) {
+    pub(super) fn retry_or_give_up(&mut self, call: CallId, verdict: Verdict, overload: bool) {
         let root = self.calls[call].root;
-        let left = self.roots[root].deadline - self.now;
-        if left <= 0.0 || (self.variant.control == Control::Now && self.roots[root].ended) {
+        let left_ms = self.roots[root].deadline - self.now;
+        if left_ms <= 0.0 || (self.variant.control == Control::Policy && self.roots[root].is_ended)
+        {
             return self.give_up(call);
         }
         let target = self.calls[call].target;
-        if self.variant.control != Control::Now {
-            if self.calls[call].attempts < LAYER_ATTEMPTS {
+        if self.variant.control != Control::Policy {
+            if self.calls[call].attempts < ATTEMPTS_PER_LAYER {
                 self.roots[root].retries += 1;
                 return self.attempt(call, target);
             }
@@ -257,18 +258,18 @@
         let failure = FailedAttempt {
             verdict,
             overload,
-            time_left: Duration::from_secs_f64(left / 1000.0),
+            time_left: Duration::from_secs_f64(left_ms / 1000.0),
         };
         let key = (self.calls[call].entry, self.calls[call].service);
         let mut ratio = self.ratios.get(&key).copied().unwrap_or_default();
-        if self.variant.off == Off::Ratio {
+        if self.variant.disabled == Disabled::RetryRatio {
             ratio = RetryRatio::default();
         }
-        let decided = self.with_account(call, |account| {
+        let decision = self.with_retry_account(call, |account| {
             decide_retry(failure, RepeatSafety::Safe, account, || ratio.try_take())
         });
         self.ratios.insert(key, ratio);
-        if decided == Some(RetryDecision::Retry) {
+        if decision == Some(RetryDecision::Retry) {
             self.roots[root].retries += 1;
             self.attempt(call, target);
         } else {
@@ -277,28 +278,30 @@
     }
 
     pub(super) fn give_up(&mut self, call: CallId) {
-        self.calls[call].closed = true;
-        let shed = self.calls[call].failed;
-        self.meet(call, shed.is_some_and(Shed::is_overload));
+        self.calls[call].is_closed = true;
+        let shed = self.calls[call].shed_reason;
+        self.report_outcome(call, shed.is_some_and(Shed::is_overload));
         match self.calls[call].parent {
-            Some(parent) => self.finish(parent, false),
-            None => self.end_root(self.calls[call].root, false),
+            Some(parent) => self.finish_call(parent, false),
+            None => self.finish_root(self.calls[call].root, false),
         }
     }
 
     /// Tells the call above what this onward call met.
-    pub(super) fn meet(&mut self, call: CallId, refused: bool) {
+    pub(super) fn report_outcome(&mut self, call: CallId, refused: bool) {
         let Some(parent) = self.calls[call].parent else {
             return;
         };
-        if self.variant.control != Control::Now || self.variant.off == Off::Chain {
+        if self.variant.control != Control::Policy
+            || self.variant.disabled == Disabled::OnwardRefusals
+        {
             return;
         }
         let now = self.instant();
         let c = &self.calls[call];
         let demand = self.servers[c.entry].tables[&c.service].demand(now);
         let service = self.names[self.calls[call].service].clone();
-        self.calls[parent].met.push(OnwardOutcome {
+        self.calls[parent].onward_outcomes.push(OnwardOutcome {
             service,
             demand,
             refused,
@@ -306,12 +309,12 @@
         });
     }
 
-    pub(super) fn done(&mut self, call: CallId) {
-        self.calls[call].closed = true;
-        self.meet(call, false);
+    pub(super) fn complete_call(&mut self, call: CallId) {
+        self.calls[call].is_closed = true;
+        self.report_outcome(call, false);
         match self.calls[call].parent {
-            Some(parent) => self.onward(parent),
-            None => self.end_root(self.calls[call].root, true),
+            Some(parent) => self.call_next_dependency(parent),
+            None => self.finish_root(self.calls[call].root, true),
         }
     }
 }
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -3,8 +3,8 @@
 
 mod caller;
 mod entry;
-mod figure;
 mod guard;
+mod results;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -26,22 +26,24 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use crate::scenario::{AFTER, LENGTH, REPEATS, RETRIES, START, Scenario};
-use crate::variant::{Control, Off, Variant};
+use crate::scenario::{
+    AFTER_SECONDS, DISTURBANCE_SECONDS, MAX_CALLER_RETRIES, MAX_RETRIES, START_SECONDS, Scenario,
+};
+use crate::variant::{Control, Disabled, Variant};
 
 /// One way between a client and an entry, within and between data centres.
-const CLIENT_MS: f64 = 8.0;
-const NEAR_MS: f64 = 0.1;
-const FAR_MS: f64 = 0.5;
+const CLIENT_DELAY_MS: f64 = 8.0;
+const LOCAL_DELAY_MS: f64 = 0.1;
+const REMOTE_DELAY_MS: f64 = 0.5;
 /// After this long a connection that is silent is found out.
-const SILENT_MS: f64 = 1000.0;
+const SILENCE_TIMEOUT_MS: f64 = 1000.0;
 /// Time until a connection cannot be made to a side that is cut off.
-const CONNECT_MS: f64 = 500.0;
+const CONNECT_TIMEOUT_MS: f64 = 500.0;
 /// Share of its slots that a cold server has at first, and how long it warms.
-const COLD_SHARE: f64 = 0.1;
-const COLD_S: f64 = 5.0;
+const INITIAL_SLOT_SHARE: f64 = 0.1;
+const WARMUP_SECONDS: f64 = 5.0;
 /// Attempts a layer without control.
-const LAYER_ATTEMPTS: u32 = 4;
+const ATTEMPTS_PER_LAYER: u32 = 4;
 
 type CallId = usize;
 type ServerId = usize;
@@ -50,17 +52,17 @@
 enum Event {
     Arrive,
     Enter(usize),
-    At(CallId),
-    Worked(CallId),
-    Back(CallId, bool),
-    Lost(CallId),
+    Reach(CallId),
+    WorkDone(CallId),
+    Answer(CallId, bool),
+    ConnectionLost(CallId),
     Timeout(CallId, u32),
     Deadline(usize),
-    Look(ServerId),
-    Disturb(bool),
+    ExpireQueue(ServerId),
+    Disturbance(bool),
 }
 
-struct Root {
+struct RootRequest {
     id: RootId,
     class: usize,
     deadline: f64,
@@ -71,8 +73,8 @@
     account: Option<RetryAccount>,
     retries: u32,
     work_ms: f64,
-    ended: bool,
-    whole: bool,
+    is_ended: bool,
+    is_complete: bool,
 }
 
 /// One call of a tree, at its entry and then at its guard.
@@ -84,17 +86,17 @@
     entry: ServerId,
     target: Option<ServerId>,
     attempts: u32,
-    loan: Option<RetryGrant>,
+    grant: Option<RetryGrant>,
     account: Option<RetryAccount>,
-    next: usize,
+    next_dependency: usize,
     started: f64,
     running: bool,
-    failed: Option<Shed>,
+    shed_reason: Option<Shed>,
     /// Given up by its entry, and still running.
-    orphan: bool,
-    closed: bool,
-    news: GuardStatus,
-    met: Vec<OnwardOutcome>,
+    is_abandoned: bool,
+    is_closed: bool,
+    guard_status: GuardStatus,
+    onward_outcomes: Vec<OnwardOutcome>,
 }
 
 struct Server {
@@ -106,23 +108,23 @@
     running: usize,
     queue: VecDeque<CallId>,
     tables: HashMap<usize, Table>,
-    silent: HashSet<ServerId>,
-    cold_since: Option<f64>,
-    factor: f64,
-    last_lesser: f64,
+    silent_links: HashSet<ServerId>,
+    restart_ms: Option<f64>,
+    work_factor: f64,
+    last_unprotected_start: f64,
     waiting: HashMap<CallId, (usize, f64)>,
-    look: bool,
+    expiry_scheduled: bool,
 }
 
 pub(crate) struct World {
     scenario: Scenario,
     variant: Variant,
-    base: Instant,
+    start: Instant,
     now: f64,
     sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     rng: SmallRng,
-    roots: Vec<Root>,
+    roots: Vec<RootRequest>,
     calls: Vec<Call>,
     servers: Vec<Server>,
     by_instance: HashMap<Instance, ServerId>,
@@ -130,10 +132,10 @@
     names: Vec<ServiceName>,
     ratios: HashMap<(ServerId, usize), RetryRatio>,
     disturbed: bool,
-    pub(crate) whole: Vec<f64>,
+    pub(crate) completions: Vec<f64>,
     /// When each request was first sent, and whether it was answered whole.
-    pub(crate) asked: Vec<(f64, bool)>,
-    pub(crate) worked_ms: f64,
+    pub(crate) requests: Vec<(f64, bool)>,
+    pub(crate) total_work_ms: f64,
     pub(crate) shed_early: u64,
 }
 
@@ -142,7 +144,7 @@
         let mut world = Self {
             scenario: scenario.clone(),
             variant,
-            base: Instant::now(),
+            start: Instant::now(),
             now: 0.0,
             sequence: 0,
             events: BinaryHeap::new(),
@@ -155,19 +157,22 @@
             names: (0..scenario.services.len()).map(name).collect(),
             ratios: HashMap::new(),
             disturbed: false,
-            whole: Vec::new(),
-            asked: Vec::new(),
-            worked_ms: 0.0,
+            completions: Vec::new(),
+            requests: Vec::new(),
+            total_work_ms: 0.0,
             shed_early: 0,
         };
-        world.build();
-        world.at(0.0, Event::Arrive);
-        world.at(START * 1000.0, Event::Disturb(true));
-        world.at((START + LENGTH) * 1000.0, Event::Disturb(false));
+        world.build_servers();
+        world.schedule_at(0.0, Event::Arrive);
+        world.schedule_at(START_SECONDS * 1000.0, Event::Disturbance(true));
+        world.schedule_at(
+            (START_SECONDS + DISTURBANCE_SECONDS) * 1000.0,
+            Event::Disturbance(false),
+        );
         world
     }
 
-    fn build(&mut self) {
+    fn build_servers(&mut self) {
         for (service, spec) in self.scenario.services.clone().iter().enumerate() {
             for n in 0..spec.servers {
                 let id = self.servers.len();
@@ -176,8 +181,8 @@
                     .expect("an address");
                 let instance = Instance::new(address, StartStamp::new(1, n as u32));
                 let settings = self.settings(spec.slots, false);
-                let admission = (self.variant.control == Control::Now)
-                    .then(|| Admission::new(self.base, settings));
+                let admission = (self.variant.control == Control::Policy)
+                    .then(|| Admission::new(self.start, settings));
                 self.servers.push(Server {
                     service,
                     centre: n % 2,
@@ -186,30 +191,30 @@
                     running: 0,
                     queue: VecDeque::new(),
                     tables: HashMap::new(),
-                    silent: HashSet::new(),
-                    cold_since: None,
+                    silent_links: HashSet::new(),
+                    restart_ms: None,
                     // One server of each service is slower, so that the
                     // choice between them matters.
-                    factor: if self.scenario.disturb.mislead && n == 0 {
+                    work_factor: if self.scenario.disturbance.false_load && n == 0 {
                         3.0
                     } else {
                         1.0
                     },
-                    last_lesser: -1.0,
+                    last_unprotected_start: -1.0,
                     waiting: HashMap::new(),
-                    look: false,
+                    expiry_scheduled: false,
                 });
                 self.by_instance.insert(instance, id);
                 self.by_service[service].push(id);
             }
         }
         for id in 0..self.servers.len() {
-            let mut wanted = self.scenario.services[self.servers[id].service]
-                .onward
+            let mut services = self.scenario.services[self.servers[id].service]
+                .dependencies
                 .clone();
-            wanted.push(0);
-            for service in wanted {
-                let table = self.table(id, service);
+            services.push(0);
+            for service in services {
+                let table = self.build_table(id, service);
                 self.servers[id].tables.insert(service, table);
             }
         }
@@ -229,7 +234,7 @@
         }
     }
 
-    fn table(&self, entry: ServerId, service: usize) -> Table {
+    fn build_table(&self, entry: ServerId, service: usize) -> Table {
         let mut table = Table::new(centre(self.servers[entry].centre));
         let slots = Slots::new(self.scenario.services[service].slots);
         let targets = self.by_service[service].iter().map(|id| {
@@ -241,25 +246,25 @@
     }
 
     fn instant(&self) -> Instant {
-        self.base + Duration::from_secs_f64(self.now / 1000.0)
+        self.start + Duration::from_secs_f64(self.now / 1000.0)
     }
 
-    fn later(&self, ms: f64) -> Instant {
-        self.base + Duration::from_secs_f64(ms / 1000.0)
+    fn instant_at(&self, ms: f64) -> Instant {
+        self.start + Duration::from_secs_f64(ms / 1000.0)
     }
 
-    fn at(&mut self, ms: f64, event: Event) {
+    fn schedule_at(&mut self, ms: f64, event: Event) {
         self.sequence += 1;
         let time = (ms * 1000.0) as u64;
         self.events.push(Reverse((time, self.sequence, event)));
     }
 
-    fn after(&mut self, ms: f64, event: Event) {
-        self.at(self.now + ms, event);
+    fn schedule_after(&mut self, ms: f64, event: Event) {
+        self.schedule_at(self.now + ms, event);
     }
 
     pub(crate) fn run(&mut self) {
-        let end = ((START + LENGTH + AFTER) * 1e6) as u64;
+        let end = ((START_SECONDS + DISTURBANCE_SECONDS + AFTER_SECONDS) * 1e6) as u64;
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             if time > end {
                 break;
@@ -273,31 +278,31 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::Enter(root) => self.enter(root),
-            Event::At(call) => self.reach(call),
-            Event::Worked(call) => self.worked(call),
-            Event::Back(call, whole) => self.back(call, whole),
-            Event::Lost(call) => self.lost(call),
-            Event::Timeout(call, attempt) => self.timeout(call, attempt),
-            Event::Deadline(root) => self.deadline(root),
-            Event::Look(server) => self.look(server),
-            Event::Disturb(on) => self.disturb(on),
+            Event::Reach(call) => self.reach_target(call),
+            Event::WorkDone(call) => self.finish_work(call),
+            Event::Answer(call, is_complete) => self.receive_answer(call, is_complete),
+            Event::ConnectionLost(call) => self.lose_connection(call),
+            Event::Timeout(call, attempt) => self.time_out(call, attempt),
+            Event::Deadline(root) => self.expire_root(root),
+            Event::ExpireQueue(server) => self.expire_queue(server),
+            Event::Disturbance(on) => self.set_disturbance(on),
         }
     }
 
-    fn disturb(&mut self, on: bool) {
+    fn set_disturbance(&mut self, on: bool) {
         self.disturbed = on;
-        let disturb = self.scenario.disturb.clone();
-        if on && disturb.cold {
+        let disturbance = self.scenario.disturbance.clone();
+        if on && disturbance.cold_restarts {
             for id in (0..self.servers.len()).step_by(3) {
                 self.restart(id);
             }
         }
-        if disturb.silent {
+        if disturbance.silent_links {
             for id in 0..self.servers.len() {
                 let others: Vec<ServerId> = (0..self.servers.len()).filter(|o| *o != id).collect();
                 for other in others {
                     if on && self.rng.random_bool(0.2) {
-                        self.servers[id].silent.insert(other);
+                        self.servers[id].silent_links.insert(other);
                     }
                 }
             }
@@ -306,8 +311,8 @@
 
     fn restart(&mut self, id: ServerId) {
         let slots = self.scenario.services[self.servers[id].service].slots;
-        self.servers[id].cold_since = Some(self.now);
-        let slow_start = self.variant.off != Off::SlowStart;
+        self.servers[id].restart_ms = Some(self.now);
+        let slow_start = self.variant.disabled != Disabled::SlowStart;
         if slow_start && let Some(admission) = &mut self.servers[id].admission {
             admission.restart(Slots::new(slots));
         }
