--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -34,8 +34,8 @@
 /// small VM.
 const CACHE_OPTION: &str = "--LL=1048576,16,64";
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 /// The path that a call takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPath {
     Direct,
     Local,
--- a/benches/overload/main.rs
+++ b/benches/overload/main.rs
@@ -1,8 +1,8 @@
-//! Goodput and recovery of the decisions in `policy` under overload.
+//! Goodput and recovery under overload with the decisions in `policy`.
 //!
-//! Small fake backend servers with slots, service times and queues drive the
-//! real policy objects in emulated time, with seeds, so that the figures are
-//! the same in every run. `cargo bench --bench overload -- --json --plot F.svg`
+//! Emulated backend servers with slots, service times and queues drive the real
+//! policy objects in emulated time. Random numbers are seeded, so each run gives
+//! the same results. `cargo bench --bench overload -- --json --plot F.svg`
 
 mod measure;
 mod plot;
@@ -54,6 +54,7 @@
     Ok(())
 }
 
+/// Returns the argument that follows `name`.
 fn option_value(args: &[String], name: &str) -> Option<String> {
     let index = args.iter().position(|a| a == name)?;
     args.get(index + 1).cloned()
--- a/benches/overload/measure.rs
+++ b/benches/overload/measure.rs
@@ -1,4 +1,4 @@
-//! Figures of one run.
+//! Results of one run.
 
 use std::fmt;
 
@@ -10,24 +10,24 @@
 
 /// Length of the windows in which goodput is compared, in seconds.
 const WINDOW_SECONDS: f64 = 0.2;
-/// Share of the demand answered whole that counts as back to normal.
+/// Share of requests with a complete answer from which a window counts as recovered.
 const MIN_RECOVERED_SHARE: f64 = 0.95;
 
 #[derive(Serialize)]
 pub(crate) struct RunSummary {
     pub(crate) scenario: &'static str,
     pub(crate) variant: &'static str,
-    /// Whole requests a second during the disturbance.
+    /// Completed requests per second during the disturbance.
     goodput: f64,
-    /// What perfect knowledge would have completed on the bottleneck.
+    /// Requests per second that ideal scheduling would complete at the bottleneck.
     limit: f64,
     ratio: f64,
     recovery_s: f64,
-    /// Work done for requests that were not answered whole, as a share.
+    /// Share of work done for requests without a complete answer.
     wasted_ratio: f64,
     retries_max: u32,
     important_shed_early: u64,
-    /// Whole requests a second, by window of `WINDOW` seconds.
+    /// Completed requests per second, by window of `WINDOW_SECONDS`.
     pub(crate) curve: Vec<f64>,
 }
 
@@ -76,12 +76,13 @@
     }
 }
 
-/// The lesser of demand and the capacity of the bottleneck.
+/// Returns the lesser of demand and bottleneck capacity, in requests per second.
 fn max_goodput(scenario: &Scenario, world: &World) -> f64 {
     let demand = scenario.rate * scenario.disturbance.demand_factor;
     demand.min(world.bottleneck_capacity())
 }
 
+/// Returns completed requests per second, by window.
 fn goodput_curve(completions: &[f64]) -> Vec<f64> {
     let count = ((START_SECONDS + DISTURBANCE_SECONDS + AFTER_SECONDS) / WINDOW_SECONDS) as usize;
     let mut curve = vec![0.0; count];
@@ -93,8 +94,7 @@
     curve
 }
 
-/// Time from `end` until, for good, the requests sent in a window are answered
-/// whole as usual.
+/// Returns the seconds from `end` until all later windows count as recovered.
 fn recovery_seconds(world: &World, end: f64) -> f64 {
     let count = ((AFTER_SECONDS - 1.5) / WINDOW_SECONDS) as usize;
     let mut sent = vec![0u32; count];
--- a/benches/overload/plot.rs
+++ b/benches/overload/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of goodput over time.
+//! Plot of goodput over time.
 
 use eyre::eyre;
 use plotters::prelude::*;
@@ -40,7 +40,7 @@
     let end = START_SECONDS + DISTURBANCE_SECONDS + AFTER_SECONDS;
     let mut chart = ChartBuilder::on(area)
         .caption(
-            format!("{name}: whole requests a second"),
+            format!("{name}: completed requests per second"),
             ("sans-serif", 16),
         )
         .margin(10)
--- a/benches/overload/scenario.rs
+++ b/benches/overload/scenario.rs
@@ -1,13 +1,13 @@
-//! The disturbances.
+//! Scenarios: services, load and disturbances.
 
 /// One service of the chain.
 #[derive(Clone)]
 pub(crate) struct ServiceSpec {
     pub(crate) servers: usize,
     pub(crate) slots: u32,
-    /// Mean time of its own work, in milliseconds.
+    /// Mean time of the service's own work, in milliseconds.
     pub(crate) work_ms: f64,
-    /// Services that each call calls, one after the other.
+    /// Services that each call invokes, one after the other.
     pub(crate) dependencies: Vec<usize>,
 }
 
@@ -18,15 +18,21 @@
     pub(crate) protected: bool,
 }
 
-/// What is disturbed between `START` and `START + length`.
+/// The disturbance, which lasts `DISTURBANCE_SECONDS` from `START_SECONDS`.
 #[derive(Clone, Default)]
 pub(crate) struct Disturbance {
+    /// Factor on the request rate.
     pub(crate) demand_factor: f64,
-    /// Factor on the work of the deepest service.
+    /// Factor on the work of the bottleneck service.
     pub(crate) slowdown: f64,
+    /// Whether every third server restarts cold.
     pub(crate) cold_restarts: bool,
+    /// Whether one server of each service is slower, and choices by reported load
+    /// take the higher one.
     pub(crate) false_load: bool,
+    /// Whether some connections between servers go silent.
     pub(crate) silent_links: bool,
+    /// Whether the data centres are cut off from each other.
     pub(crate) partition: bool,
 }
 
@@ -35,19 +41,21 @@
     pub(crate) name: &'static str,
     pub(crate) services: Vec<ServiceSpec>,
     pub(crate) classes: Vec<ClassSpec>,
-    /// Requests a second in calm times.
+    /// Requests per second without disturbance.
     pub(crate) rate: f64,
     pub(crate) disturbance: Disturbance,
     pub(crate) deadline_ms: f64,
 }
 
-/// Seconds before, during and after the disturbance.
+/// Duration before the disturbance.
 pub(crate) const START_SECONDS: f64 = 3.0;
+/// Duration of the disturbance.
 pub(crate) const DISTURBANCE_SECONDS: f64 = 10.0;
+/// Duration after the disturbance.
 pub(crate) const AFTER_SECONDS: f64 = 7.0;
-/// Retries of one request over its whole tree.
+/// Maximum retries of one request over its whole call tree.
 pub(crate) const MAX_RETRIES: u32 = 3;
-/// Repeats that a caller makes of one request, without back-off.
+/// Maximum retries of one request by its caller, without back-off.
 pub(crate) const MAX_CALLER_RETRIES: u32 = 5;
 
 impl Scenario {
@@ -118,7 +126,7 @@
         ]
     }
 
-    /// Four services in a row, the last one the narrowest.
+    /// Returns a chain of four services, the last of which has the least capacity.
     fn chain(name: &'static str, disturbance: Disturbance) -> Self {
         let service = |servers, slots, work_ms, dependencies: &[usize]| ServiceSpec {
             servers,
@@ -141,7 +149,8 @@
         }
     }
 
-    /// 29 services in a row, each of which also calls one leaf service.
+    /// Returns a chain of 29 services, each but the last of which also calls one leaf
+    /// service.
     fn deep(disturbance: Disturbance) -> Self {
         const DEPTH: usize = 29;
         let mut services: Vec<ServiceSpec> = (0..DEPTH - 1)
@@ -195,7 +204,7 @@
         ]
     }
 
-    /// The service whose capacity bounds the whole: the last of the chain.
+    /// Returns the service with the least capacity, the last of the chain.
     pub(crate) fn bottleneck(&self) -> usize {
         self.services
             .iter()
--- a/benches/overload/variant.rs
+++ b/benches/overload/variant.rs
@@ -1,38 +1,39 @@
-//! What is compared.
+//! Variants of overload control that are compared.
 
 /// A way of handling overload.
 #[derive(Clone, Copy)]
 pub(crate) struct Variant {
     pub(crate) name: &'static str,
     pub(crate) control: Control,
-    /// Mechanisms that are switched off.
+    /// The mechanism that is switched off.
     pub(crate) disabled: Disabled,
     pub(crate) ablation: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Control {
-    /// Endless queues and three retries a layer.
+    /// Unlimited queues and three retries per layer.
     Unlimited,
-    /// A fixed limit with a first-in-first-out queue of the same length, and
-    /// three retries a layer.
+    /// A fixed concurrency limit, a FIFO queue of the same length and three retries
+    /// per layer.
     FixedLimit,
-    /// The decisions of this project.
+    /// The decisions in `policy`.
     Policy,
 }
 
+/// The mechanism that a variant switches off.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Disabled {
     Nothing,
-    /// Entries do not shed at the source.
+    /// Entries don't shed calls at the source.
     SourceShedding,
-    /// Guards do not learn of refusals further down.
+    /// Guards don't learn of refusals of onward calls.
     OnwardRefusals,
-    /// Failing targets are not ejected.
+    /// Failing targets aren't ejected.
     Ejection,
-    /// Retries are not bounded by the ratio.
+    /// Retries aren't bounded by the retry ratio.
     RetryRatio,
-    /// A backend server that starts is taken for warm.
+    /// A restarted backend server is treated as warm.
     SlowStart,
 }
 
--- a/benches/overload/world/caller.rs
+++ b/benches/overload/world/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: requests that arrive, end and are repeated.
+//! Callers: arrival, end and retries of requests.
 
 use super::*;
 
@@ -61,7 +61,7 @@
         self.attempt(call, None);
     }
 
-    /// Ends a request; a caller that was refused repeats it at once.
+    /// Ends a request; its caller retries at once if the answer isn't complete.
     pub(super) fn finish_root(&mut self, root: usize, is_complete: bool) {
         if self.roots[root].is_ended {
             return;
--- a/benches/overload/world/entry.rs
+++ b/benches/overload/world/entry.rs
@@ -1,4 +1,4 @@
-//! Entries: attempts at calls, their retries, and what came of them.
+//! Entries: attempts of calls, retries and outcomes.
 
 use super::*;
 
@@ -67,7 +67,8 @@
                     return self.give_up(call);
                 }
             },
-            // Without control, the server that reports the least load.
+            // The server that reports the lesser load, of two chosen at random, or the
+            // greater one while reports are false.
             Control::Unlimited | Control::FixedLimit => {
                 let sign = if self.scenario.disturbance.false_load && self.disturbed {
                     -1.0
@@ -151,7 +152,7 @@
         let table = self.servers[c.entry]
             .tables
             .get_mut(&c.service)
-            .expect("a table");
+            .expect("table exists");
         match table.choose(now, needs, &mut self.rng) {
             Pick::Target(instance) | Pick::Wait(instance) => Ok(self.by_instance[&instance]),
             Pick::Refused(level) => Err(Some(level)),
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The connection went silent or could not be made; the next one is new.
+    /// Handles a connection that went silent or couldn't be made; the next one is new.
     pub(super) fn lose_connection(&mut self, call: CallId) {
         let (entry, target) = (self.calls[call].entry, self.calls[call].target);
         if let Some(target) = target {
@@ -187,8 +188,9 @@
         self.retry_or_give_up(call, Verdict::MayHaveRun, false);
     }
 
-    /// Without control, a layer waits for a share of the deadline and tries
-    /// again, while what it gave up goes on.
+    /// Retries a call that exceeded its share of the deadline, without policy.
+    ///
+    /// The abandoned attempt keeps running.
     pub(super) fn time_out(&mut self, call: CallId, attempt: u32) {
         let c = &self.calls[call];
         if c.is_closed || c.is_abandoned || c.attempts != attempt {
@@ -202,7 +204,7 @@
         self.retry_or_give_up(retry, Verdict::MayHaveRun, false);
     }
 
-    /// An answer or refusal reaches the entry.
+    /// Handles an answer or refusal that reaches the entry.
     pub(super) fn receive_answer(&mut self, call: CallId, is_complete: bool) {
         if self.calls[call].is_abandoned || self.calls[call].is_closed {
             return;
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Tells the call above what this onward call met.
+    /// Reports the outcome of an onward call to its parent.
     pub(super) fn report_outcome(&mut self, call: CallId, refused: bool) {
         let Some(parent) = self.calls[call].parent else {
             return;
--- a/benches/overload/world/guard.rs
+++ b/benches/overload/world/guard.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Counts an important call that was shed though something less important
-    /// waits here or was started while it waited.
+    /// Counts a protected call that was shed though an unprotected one waits here or
+    /// started while it waited.
     pub(super) fn count_early_shed(&mut self, id: ServerId, since: f64) {
         let server = &self.servers[id];
         let classes = &self.scenario.classes;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Slots that the backend server really has now.
+    /// Returns the slots that the backend server has now, fewer while it warms up.
     pub(super) fn current_slots(&self, id: ServerId) -> usize {
         let slots = f64::from(self.scenario.services[self.servers[id].service].slots);
         let share = self.servers[id].restart_ms.map_or(1.0, |since| {
@@ -131,7 +131,7 @@
         if self.variant.control == Control::Policy
             && self.servers[id].running >= self.current_slots(id)
         {
-            // The backend server itself sheds.
+            // The backend server itself refuses the call.
             return self.release_slot(id, call, Outcome::Refused, false);
         }
         self.servers[id].running += 1;
@@ -156,7 +156,8 @@
         self.call_next_dependency(call);
     }
 
-    /// Makes the next onward call, or ends the call if there is none.
+    /// Makes the next onward call, or finishes the call if there is none or its
+    /// request has ended.
     pub(super) fn call_next_dependency(&mut self, call: CallId) {
         let Some(id) = self.calls[call].target else {
             return;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// The backend server ends a call.
+    /// Finishes a running call at the backend server.
     pub(super) fn finish_call(&mut self, call: CallId, is_complete: bool) {
         if !self.calls[call].running {
             return;
--- a/benches/overload/world/mod.rs
+++ b/benches/overload/world/mod.rs
@@ -1,5 +1,5 @@
-//! The emulated estate: events in order of time, policy objects at each guard
-//! and entry.
+//! The emulated estate: an event queue in time order, with policy objects at each
+//! guard and entry.
 
 mod caller;
 mod entry;
@@ -31,18 +31,21 @@
 };
 use crate::variant::{Control, Disabled, Variant};
 
-/// One way between a client and an entry, within and between data centres.
+/// One-way delay between a client and an entry.
 const CLIENT_DELAY_MS: f64 = 8.0;
+/// One-way delay within a data centre.
 const LOCAL_DELAY_MS: f64 = 0.1;
+/// One-way delay between data centres.
 const REMOTE_DELAY_MS: f64 = 0.5;
-/// After this long a connection that is silent is found out.
+/// Time until a silent connection is detected.
 const SILENCE_TIMEOUT_MS: f64 = 1000.0;
-/// Time until a connection cannot be made to a side that is cut off.
+/// Time until connecting to a partitioned data centre fails.
 const CONNECT_TIMEOUT_MS: f64 = 500.0;
-/// Share of its slots that a cold server has at first, and how long it warms.
+/// Share of its slots that a cold server has at first.
 const INITIAL_SLOT_SHARE: f64 = 0.1;
+/// Time until a cold server has all its slots.
 const WARMUP_SECONDS: f64 = 5.0;
-/// Attempts a layer without control.
+/// Attempts per layer without policy.
 const ATTEMPTS_PER_LAYER: u32 = 4;
 
 type CallId = usize;
@@ -62,12 +65,13 @@
     Disturbance(bool),
 }
 
+/// One request of a caller, the root of a call tree.
 struct RootRequest {
     id: RootId,
     class: usize,
     deadline: f64,
     entry: ServerId,
-    /// The request of which this is a repeat, or this one itself.
+    /// Index of the original request that this one is or retries.
     original: usize,
     repeats: u32,
     account: Option<RetryAccount>,
@@ -92,7 +96,7 @@
     started: f64,
     running: bool,
     shed_reason: Option<Shed>,
-    /// Given up by its entry, and still running.
+    /// Abandoned by its entry while it still runs.
     is_abandoned: bool,
     is_closed: bool,
     guard_status: GuardStatus,
@@ -104,8 +108,9 @@
     centre: usize,
     instance: Instance,
     admission: Option<Admission>,
-    /// Without control: calls at the backend server, and those that wait.
+    /// Calls that run at the backend server.
     running: usize,
+    /// Calls that wait for the backend server, without policy.
     queue: VecDeque<CallId>,
     tables: HashMap<usize, Table>,
     silent_links: HashSet<ServerId>,
@@ -132,10 +137,12 @@
     names: Vec<ServiceName>,
     ratios: HashMap<(ServerId, usize), RetryRatio>,
     disturbed: bool,
+    /// When complete answers reached their callers, in seconds.
     pub(crate) completions: Vec<f64>,
-    /// When each request was first sent, and whether it was answered whole.
+    /// When each request was first sent, and whether it got a complete answer.
     pub(crate) requests: Vec<(f64, bool)>,
     pub(crate) total_work_ms: f64,
+    /// Protected calls that were shed before unprotected ones.
     pub(crate) shed_early: u64,
 }
 
@@ -178,7 +185,7 @@
                 let id = self.servers.len();
                 let address = format!("10.{service}.0.{}:1", n + 1)
                     .parse()
-                    .expect("an address");
+                    .expect("valid address");
                 let instance = Instance::new(address, StartStamp::new(1, n as u32));
                 let settings = self.settings(spec.slots, false);
                 let admission = (self.variant.control == Control::Policy)
@@ -320,9 +327,9 @@
 }
 
 fn centre(number: usize) -> CentreName {
-    format!("centre-{number}").parse().expect("a name")
+    format!("centre-{number}").parse().expect("valid name")
 }
 
 fn name(service: usize) -> ServiceName {
-    format!("service-{service}").parse().expect("a name")
+    format!("service-{service}").parse().expect("valid name")
 }
--- a/benches/overload/world/results.rs
+++ b/benches/overload/world/results.rs
@@ -1,4 +1,4 @@
-//! What a run came to, and what the service that is short could serve.
+//! Results of a run, and the capacity of the bottleneck.
 
 use super::*;
 
@@ -15,7 +15,7 @@
         self.roots.iter().map(|r| r.retries).max().unwrap_or(0)
     }
 
-    /// Calls a second that the bottleneck can run during the disturbance.
+    /// Returns the calls per second that the bottleneck can run during the disturbance.
     pub(crate) fn bottleneck_capacity(&self) -> f64 {
         let service = self.scenario.bottleneck();
         let spec = &self.scenario.services[service];
@@ -25,7 +25,7 @@
             .map(|id| {
                 let server = &self.servers[*id];
                 let warm = match server.restart_ms {
-                    // Mean share of slots over the disturbance.
+                    // Mean share of available slots over the disturbance.
                     Some(_) => {
                         let warming =
                             (INITIAL_SLOT_SHARE + 1.0) / 2.0 * WARMUP_SECONDS / DISTURBANCE_SECONDS;
