--- a/examples/soak/backend.rs
+++ b/examples/soak/backend.rs
@@ -36,7 +36,7 @@
 /// How long slow requests run.
 const SLOW_TIME: Duration = Duration::from_millis(1500);
 
-/// The state that a server announces.
+/// The state that a server announces or signals with its answers.
 #[derive(Clone, Debug)]
 struct ServerState {
     id: String,
@@ -263,8 +263,8 @@
         *request.uri_mut() = format!("http://{to}/instances/{}", state.id)
             .parse()
             .expect("valid URI");
-        let is_acknowledged = client.send(request).await;
-        let is_acknowledged = is_acknowledged.is_ok_and(|answer| answer.status.is_success());
+        let answer = client.send(request).await;
+        let is_acknowledged = answer.is_ok_and(|answer| answer.status.is_success());
         if is_acknowledged && state.is_leaving {
             shared.leave_ack.lock().get_or_insert_with(Instant::now);
         }
--- a/examples/soak/check.rs
+++ b/examples/soak/check.rs
@@ -1,7 +1,7 @@
 //! Checks of the promises against what callers and backend servers observed.
 //!
-//! A time bound applies to a VM only if neither a fault nor planned work
-//! affected the VM or the store since `UNDISTURBED_TIME` before.
+//! A time bound applies to a VM only if neither a fault nor a planned stop of its
+//! daemon affected it, and no fault the store, since `UNDISTURBED_TIME` before.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -158,7 +158,7 @@
     Some(format!("{} ran it", wrong.service))
 }
 
-/// UNASKED: a request was changed on the way or its origin was forged.
+/// UNASKED: a request was changed on the way or names the wrong origin.
 fn unasked(request: &RequestRecord) -> Option<String> {
     let own = service_of(request.vm);
     let wrong = request
@@ -171,8 +171,8 @@
     ))
 }
 
-/// Returns whether a VM and the store were undisturbed between `UNDISTURBED_TIME`
-/// before `from` and `to`.
+/// Returns whether neither a fault nor a planned stop of its daemon affected a VM,
+/// and no fault the store, from `UNDISTURBED_TIME` before `from` until `to`.
 fn is_undisturbed(world: &World, vm: usize, from: Instant, to: Instant) -> bool {
     let since = from.checked_sub(UNDISTURBED_TIME).unwrap_or(from);
     let daemon = &world.vms[vm];
@@ -240,7 +240,8 @@
         .then(|| "its connection ended at a planned stop".into())
 }
 
-/// GONE: more than a quarter of the runs went on after their callers disconnected.
+/// GONE: more than three runs, and more than a quarter of them, went on after their
+/// callers disconnected.
 fn abandoned_work<'s>(
     world: &World,
     all: impl Iterator<Item = &'s RequestRecord>,
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -259,7 +259,8 @@
             tokio::time::sleep(LEAVE_TIME).await;
         }
         let left = backend.leave_ack();
-        // Closes the connections to the old server.
+        // The crash closes the connections to the old server, which counts as a
+        // disturbance.
         let index = self.vms[vm].begin_disturbance();
         backend.crash();
         if let Some(left) = left {
