--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -9,7 +9,7 @@
 /// A single server per service makes the path of each call known.
 pub(crate) async fn start_site(answer_bytes: usize) -> eyre::Result<Site> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/nordlysvakt");
-    let mut estate = Site::estate(&dir, 2, 1.0)?;
+    let mut estate = Site::load_scaled(&dir, 2, 1.0)?;
     estate.services.retain(|name, _| {
         matches!(
             name.as_str(),
@@ -20,8 +20,8 @@
         service.depends.clear();
         service.servers.truncate(1);
     }
-    let site = Site::start_direct(estate, |_| Behaviour {
-        answer: answer_bytes,
+    let site = Site::start_without_relays(estate, |_| Behaviour {
+        answer_bytes,
         ..Behaviour::default()
     });
     Ok(site.await?)
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -13,7 +13,7 @@
 use crate::backend::Backend;
 use crate::estate::configuration_document;
 use crate::proxy::{Mode, Proxy};
-use crate::rows::{RowsStandIn, Trouble};
+use crate::rows::{RowsFault, RowsStandIn};
 use crate::vm::{GRACE_PERIOD, Signal, Span, Vm};
 
 /// How long to wait for a daemon's exit beyond its grace period.
@@ -40,7 +40,7 @@
     Pause,
     HangUp,
     Cut(Mode),
-    Store(Trouble),
+    Store(RowsFault),
     /// The backend server crashes and restarts, with the same id or a new one.
     Crash {
         same_id: bool,
@@ -68,9 +68,9 @@
     Fault::Cut(Mode::Silent),
     Fault::Cut(Mode::OneWay),
     Fault::Cut(Mode::Reset),
-    Fault::Store(Trouble::Busy),
-    Fault::Store(Trouble::Silent),
-    Fault::Store(Trouble::LoseAnswers),
+    Fault::Store(RowsFault::Busy),
+    Fault::Store(RowsFault::Silent),
+    Fault::Store(RowsFault::LoseAnswers),
     Fault::Crash { same_id: true },
     Fault::Crash { same_id: false },
     Fault::Replace,
@@ -126,7 +126,7 @@
             Fault::Pause => self.pause(vm, time).await,
             Fault::HangUp => self.vms[vm].signal(Signal::HangUp),
             Fault::Cut(mode) => self.disturb_proxy(vm, mode, time).await,
-            Fault::Store(trouble) => self.disturb_store(trouble, time).await,
+            Fault::Store(fault) => self.disturb_store(fault, time).await,
             Fault::Crash { same_id } => self.crash(vm, same_id, time).await,
             Fault::Replace => self.replace(vm).await,
             Fault::Slip => self.leave_by_answers(vm).await,
@@ -199,11 +199,11 @@
         self.vms[vm].end_disturbance(index);
     }
 
-    async fn disturb_store(&self, trouble: Trouble, time: Duration) {
+    async fn disturb_store(&self, fault: RowsFault, time: Duration) {
         self.store_faults.lock().push((Instant::now(), None));
-        self.store.set(trouble);
+        self.store.set_fault(fault);
         tokio::time::sleep(time).await;
-        self.store.set(Trouble::None);
+        self.store.set_fault(RowsFault::None);
         if let Some(span) = self.store_faults.lock().last_mut() {
             span.1 = Some(Instant::now());
         }
