--- a/benches/overload/scenario.rs
+++ b/benches/overload/scenario.rs
@@ -1,14 +1,14 @@
-//! The disturbances.
+//! Scenarios: services, load and disturbances.
 
 /// One service of the chain.
 #[derive(Clone)]
 pub(crate) struct ServiceSpec {
     pub(crate) servers: usize,
     pub(crate) slots: u32,
-    /// Mean time of its own work, in milliseconds.
+    /// Mean time of the service's own work, in milliseconds.
     pub(crate) work_ms: f64,
-    /// Services that each call calls, one after the other.
-    pub(crate) onward: Vec<usize>,
+    /// Services that each call invokes, one after the other.
+    pub(crate) dependencies: Vec<usize>,
 }
 
 /// One class of requests.
@@ -18,16 +18,22 @@
     pub(crate) protected: bool,
 }
 
-/// What is disturbed between `START` and `START + length`.
+/// The disturbance, which lasts `DISTURBANCE_SECONDS` from `START_SECONDS`.
 #[derive(Clone, Default)]
-pub(crate) struct Disturb {
-    pub(crate) demand: f64,
-    /// Factor on the work of the deepest service.
-    pub(crate) slow: f64,
-    pub(crate) cold: bool,
-    pub(crate) mislead: bool,
-    pub(crate) silent: bool,
-    pub(crate) cut: bool,
+pub(crate) struct Disturbance {
+    /// Factor on the request rate.
+    pub(crate) demand_factor: f64,
+    /// Factor on the work of the bottleneck service.
+    pub(crate) slowdown: f64,
+    /// Whether every third server restarts cold.
+    pub(crate) cold_restarts: bool,
+    /// Whether one server of each service is slower, and choices by reported load
+    /// take the higher one.
+    pub(crate) false_load: bool,
+    /// Whether some connections between servers go silent.
+    pub(crate) silent_links: bool,
+    /// Whether the data centres are cut off from each other.
+    pub(crate) partition: bool,
 }
 
 #[derive(Clone)]
@@ -35,96 +41,98 @@
     pub(crate) name: &'static str,
     pub(crate) services: Vec<ServiceSpec>,
     pub(crate) classes: Vec<ClassSpec>,
-    /// Requests a second in calm times.
+    /// Requests per second without disturbance.
     pub(crate) rate: f64,
-    pub(crate) disturb: Disturb,
+    pub(crate) disturbance: Disturbance,
     pub(crate) deadline_ms: f64,
 }
 
-/// Seconds before, during and after the disturbance.
-pub(crate) const START: f64 = 3.0;
-pub(crate) const LENGTH: f64 = 10.0;
-pub(crate) const AFTER: f64 = 7.0;
-/// Retries of one request over its whole tree.
-pub(crate) const RETRIES: u32 = 3;
-/// Repeats that a caller makes of one request, without back-off.
-pub(crate) const REPEATS: u32 = 5;
+/// Duration before the disturbance.
+pub(crate) const START_SECONDS: f64 = 3.0;
+/// Duration of the disturbance.
+pub(crate) const DISTURBANCE_SECONDS: f64 = 10.0;
+/// Duration after the disturbance.
+pub(crate) const AFTER_SECONDS: f64 = 7.0;
+/// Maximum retries of one request over its whole call tree.
+pub(crate) const MAX_RETRIES: u32 = 3;
+/// Maximum retries of one request by its caller, without back-off.
+pub(crate) const MAX_CALLER_RETRIES: u32 = 5;
 
 impl Scenario {
     pub(crate) fn all() -> Vec<Self> {
-        let calm = || Disturb {
-            demand: 1.0,
-            slow: 1.0,
-            ..Disturb::default()
+        let undisturbed = || Disturbance {
+            demand_factor: 1.0,
+            slowdown: 1.0,
+            ..Disturbance::default()
         };
-        let with = |name, disturb| Self::chain(name, disturb);
+        let with = |name, disturbance| Self::chain(name, disturbance);
         vec![
             with(
                 "surge",
-                Disturb {
-                    demand: 10.0,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "slow",
-                Disturb {
-                    slow: 5.0,
-                    ..calm()
+                Disturbance {
+                    slowdown: 5.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "both",
-                Disturb {
-                    demand: 10.0,
-                    slow: 5.0,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    slowdown: 5.0,
+                    ..undisturbed()
                 },
             ),
             with(
                 "cold",
-                Disturb {
-                    demand: 10.0,
-                    cold: true,
-                    ..calm()
+                Disturbance {
+                    demand_factor: 10.0,
+                    cold_restarts: true,
+                    ..undisturbed()
                 },
             ),
             with(
                 "mislead",
-                Disturb {
-                    mislead: true,
-                    demand: 1.5,
-                    ..calm()
+                Disturbance {
+                    false_load: true,
+                    demand_factor: 1.5,
+                    ..undisturbed()
                 },
             ),
             with(
                 "silent",
-                Disturb {
-                    silent: true,
-                    ..calm()
+                Disturbance {
+                    silent_links: true,
+                    ..undisturbed()
                 },
             ),
             with(
                 "cut",
-                Disturb {
-                    cut: true,
-                    ..calm()
+                Disturbance {
+                    partition: true,
+                    ..undisturbed()
                 },
             ),
-            Self::deep(Disturb {
-                demand: 5.0,
-                ..calm()
+            Self::deep(Disturbance {
+                demand_factor: 5.0,
+                ..undisturbed()
             }),
         ]
     }
 
-    /// Four services in a row, the last one the narrowest.
-    fn chain(name: &'static str, disturb: Disturb) -> Self {
-        let service = |servers, slots, work_ms, onward: &[usize]| ServiceSpec {
+    /// Returns a chain of four services, the last of which has the least capacity.
+    fn chain(name: &'static str, disturbance: Disturbance) -> Self {
+        let service = |servers, slots, work_ms, dependencies: &[usize]| ServiceSpec {
             servers,
             slots,
             work_ms,
-            onward: onward.to_vec(),
+            dependencies: dependencies.to_vec(),
         };
         Self {
             name,
@@ -136,40 +144,41 @@
             ],
             classes: Self::classes(),
             rate: 1200.0,
-            disturb,
+            disturbance,
             deadline_ms: 1000.0,
         }
     }
 
-    /// 29 services in a row, each of which also calls one leaf service.
-    fn deep(disturb: Disturb) -> Self {
+    /// Returns a chain of 29 services, each but the last of which also calls one leaf
+    /// service.
+    fn deep(disturbance: Disturbance) -> Self {
         const DEPTH: usize = 29;
         let mut services: Vec<ServiceSpec> = (0..DEPTH - 1)
             .map(|level| ServiceSpec {
                 servers: 2,
                 slots: 120,
                 work_ms: 0.5,
-                onward: vec![DEPTH, level + 1],
+                dependencies: vec![DEPTH, level + 1],
             })
             .collect();
         services.push(ServiceSpec {
             servers: 2,
             slots: 10,
             work_ms: 20.0,
-            onward: vec![],
+            dependencies: vec![],
         });
         services.push(ServiceSpec {
             servers: 4,
             slots: 200,
             work_ms: 0.5,
-            onward: vec![],
+            dependencies: vec![],
         });
         Self {
             name: "deep",
             services,
             classes: Self::classes(),
             rate: 300.0,
-            disturb,
+            disturbance,
             deadline_ms: 2000.0,
         }
     }
@@ -195,7 +204,7 @@
         ]
     }
 
-    /// The service whose capacity bounds the whole: the last of the chain.
+    /// Returns the service with the least capacity, the last of the chain.
     pub(crate) fn bottleneck(&self) -> usize {
         self.services
             .iter()
