--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -38,7 +38,7 @@
     let may_query = || shared.store_role.borrow().uses_store() || may_read_first(&shared);
     follow_row(&*feed, &followed, may_query, |row| {
         if let Err(e) = apply_row(&shared, &guard, row) {
-            spdlog::error!("configuration not understood", kv: {
+            spdlog::error!("invalid configuration", kv: {
                 cause = e.to_string().as_str(), revision = row.revision.0
             });
         }
--- a/src/platform/row.rs
+++ b/src/platform/row.rs
@@ -60,7 +60,7 @@
     fn read(found: &Value) -> Option<Self> {
         let read = Self::deserialize(found);
         if let Err(e) = &read {
-            spdlog::warn!("row not understood", kv: { cause = e.to_string().as_str() });
+            spdlog::warn!("invalid row", kv: { cause = e.to_string().as_str() });
         }
         read.ok()
     }
@@ -75,7 +75,7 @@
         let content = value.as_str().and_then(|text| STANDARD.decode(text).ok());
         let key = self.name.to_text();
         if content.is_none() {
-            spdlog::warn!("content of a row not understood", kv: { key = &*key });
+            spdlog::warn!("invalid content of a row", kv: { key = &*key });
         }
         Some(Row {
             key,
--- a/tests/keys_in_output.rs
+++ b/tests/keys_in_output.rs
@@ -72,7 +72,7 @@
     }
     eventually("an error about the document", || async {
         let text = std::fs::read_to_string(&output).ok()?;
-        text.contains("configuration not understood").then_some(())
+        text.contains("invalid configuration").then_some(())
     })
     .await;
     child.kill().expect("the daemon ends");
