--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -24,12 +24,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum ApplyResult {
-    /// The change is accepted for good.
+    /// The change is accepted; this result is final.
     Accepted {
         /// Its version.
         version: Version,
     },
-    /// The change is refused for good.
+    /// The change is refused; this result is final.
     Refused {
         /// The reason.
         #[serde(rename = "why")]
--- a/src/peer/credit.rs
+++ b/src/peer/credit.rs
@@ -13,7 +13,7 @@
 pub(super) const CREDIT_PATH: &str = "/credit";
 /// Timeout of a credit query. A request waits for it if its workspace has no
 /// local credit. Between regions the network latency alone is 70 ms.
-const TIMEOUT: Duration = Duration::from_millis(200);
+const CREDIT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The answer of a daemon to a credit query.
 enum CreditAnswer {
@@ -31,7 +31,7 @@
     credit_query: CreditQuery,
 ) -> Option<CreditGrant> {
     let answered = tokio::time::timeout(
-        TIMEOUT,
+        CREDIT_TIMEOUT,
         query_coordinator(shared, pool, workspace, credit_query),
     )
     .await;
--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -8,7 +8,7 @@
 use super::generated as wire;
 use super::member::{decode_member, encode_member, encode_ownership};
 use super::pool::Pool;
-use super::query::{ExchangeError, TIMEOUT, query};
+use super::query::{EXCHANGE_TIMEOUT, ExchangeError, query};
 use super::rollout::{fetch_configuration, requested_documents};
 use super::suspect::{decode_suspects, encode_suspects};
 use crate::error::Error;
@@ -102,7 +102,7 @@
         ..Default::default()
     };
     let mut client = pool.new_client(instance.address)?;
-    let queried = tokio::time::timeout(TIMEOUT, client.exchange(request)).await;
+    let queried = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(request)).await;
     let answer = queried.ok()?.ok()?.into_inner();
     (answer.from == instance.to_string()).then(|| Version::new(answer.version))
 }
--- a/src/peer/ledger.rs
+++ b/src/peer/ledger.rs
@@ -13,7 +13,7 @@
 use crate::tables::Shared;
 
 /// Timeout of one message to the heir.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of entries per message.
 const BATCH_ENTRIES: usize = 256;
 
@@ -41,7 +41,7 @@
             forgotten_ms: forgotten.as_millis(),
         };
         let last = request.last;
-        let taken = match tokio::time::timeout(TIMEOUT, client.hand_over(request)).await {
+        let taken = match tokio::time::timeout(HAND_OVER_TIMEOUT, client.hand_over(request)).await {
             Ok(Ok(answer)) => answer.into_inner().taken,
             _ => false,
         };
@@ -59,10 +59,10 @@
         ..Default::default()
     };
     match state {
-        KeyState::Claimed => entry.state = CLAIMED.into(),
-        KeyState::Running | KeyState::Unknown => entry.state = UNKNOWN.into(),
+        KeyState::Claimed => entry.state = CLAIMED_STATE.into(),
+        KeyState::Running | KeyState::Unknown => entry.state = UNKNOWN_STATE.into(),
         KeyState::Done(stored) => {
-            entry.state = DONE.into();
+            entry.state = DONE_STATE.into();
             entry.status = u32::from(stored.status);
             entry.headers = encode_headers(&stored_headers(stored));
             entry.body = stored.body.clone().unwrap_or_default();
@@ -72,9 +72,9 @@
     entry
 }
 
-const CLAIMED: &str = "claimed";
-const UNKNOWN: &str = "unknown";
-const DONE: &str = "done";
+const CLAIMED_STATE: &str = "claimed";
+const UNKNOWN_STATE: &str = "unknown";
+const DONE_STATE: &str = "done";
 
 fn stored_headers(stored: &StoredAnswer) -> HeaderMap {
     stored
@@ -98,8 +98,8 @@
     let state = match entry.state.as_str() {
         // A key claimed by the stopping instance cannot be started here, since
         // the claim row names that instance.
-        CLAIMED | UNKNOWN => KeyState::Unknown,
-        DONE => KeyState::Done(StoredAnswer {
+        CLAIMED_STATE | UNKNOWN_STATE => KeyState::Unknown,
+        DONE_STATE => KeyState::Done(StoredAnswer {
             status: u16::try_from(entry.status).unwrap_or_default(),
             headers: entry
                 .headers
--- a/src/peer/listen.rs
+++ b/src/peer/listen.rs
@@ -30,7 +30,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The HTTP/2 connection preface, with which a connection of streams begins.
-const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
+const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 /// Interval between checks while the first bytes are too few to decide.
 const PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -110,13 +110,13 @@
 
 /// Returns whether a connection begins with the HTTP/2 preface.
 async fn is_http2(stream: &TcpStream) -> std::io::Result<bool> {
-    let mut start = [0; PREFACE.len()];
+    let mut start = [0; HTTP2_PREFACE.len()];
     loop {
         let count = stream.peek(&mut start).await?;
-        if count == 0 || start[..count] != PREFACE[..count] {
+        if count == 0 || start[..count] != HTTP2_PREFACE[..count] {
             return Ok(false);
         }
-        if count == PREFACE.len() {
+        if count == HTTP2_PREFACE.len() {
             return Ok(true);
         }
         tokio::time::sleep(PEEK_INTERVAL).await;
--- a/src/peer/query.rs
+++ b/src/peer/query.rs
@@ -11,7 +11,7 @@
 /// The path of exchange requests.
 pub(super) const EXCHANGE_PATH: &str = "/exchange";
 /// Timeout of a request whose reply contains documents.
-pub(super) const TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of a request without documents. A neighbour is marked silent after
 /// three failures in four seconds.
 const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -37,7 +37,7 @@
     let timeout = if request.want.is_empty() {
         SHORT_TIMEOUT
     } else {
-        TIMEOUT
+        EXCHANGE_TIMEOUT
     };
     match tokio::time::timeout(timeout, query_either(pool, address, request)).await {
         Ok(Ok(answer)) => Ok(answer),
--- a/src/platform/announcement.rs
+++ b/src/platform/announcement.rs
@@ -21,8 +21,8 @@
 const MAX_BODY: usize = 16 * 1024;
 /// Body of the answer to an accepted request.
 const ACKNOWLEDGEMENT: &str = "{}";
-const JSON: &str = "application/json";
-const TEXT: &str = "text/plain; charset=utf-8";
+const JSON_CONTENT_TYPE: &str = "application/json";
+const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
 
 #[derive(Debug, Deserialize)]
 struct AnnouncementBody {
@@ -88,7 +88,11 @@
     let (head, body) = request.into_parts();
     let id = head.uri.path().strip_prefix(PATH_PREFIX);
     let Some(Ok(server)) = id.map(str::parse::<ServerId>) else {
-        return caller_text(StatusCode::NOT_FOUND, TEXT, "no such resource\n");
+        return caller_text(
+            StatusCode::NOT_FOUND,
+            TEXT_CONTENT_TYPE,
+            "no such resource\n",
+        );
     };
     match head.method {
         Method::PUT => match read_body(body, &server).await {
@@ -100,7 +104,11 @@
             spdlog::info!("backend server departed", kv: { server = server.as_str() });
             acknowledge()
         }
-        _ => caller_text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "PUT or DELETE\n"),
+        _ => caller_text(
+            StatusCode::METHOD_NOT_ALLOWED,
+            TEXT_CONTENT_TYPE,
+            "PUT or DELETE\n",
+        ),
     }
 }
 
@@ -161,10 +169,14 @@
 }
 
 fn acknowledge() -> CallerAnswer {
-    caller_text(StatusCode::OK, JSON, ACKNOWLEDGEMENT)
+    caller_text(StatusCode::OK, JSON_CONTENT_TYPE, ACKNOWLEDGEMENT)
 }
 
 fn reject(server: &ServerId, cause: &str) -> CallerAnswer {
     spdlog::warn!("announcement rejected", kv: { server = server.as_str(), cause });
-    caller_text(StatusCode::BAD_REQUEST, TEXT, format!("{cause}\n"))
+    caller_text(
+        StatusCode::BAD_REQUEST,
+        TEXT_CONTENT_TYPE,
+        format!("{cause}\n"),
+    )
 }
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -22,7 +22,7 @@
 const CONFIGURATION_TABLE: &str = "op";
 
 /// The author recorded for versions that come from the row.
-const AUTHOR: &str = "operator";
+const ROW_AUTHOR: &str = "operator";
 
 /// How long one request for changes may stay open. Each daemon sends one in this
 /// time, so that 5,300 daemons make 530 calls per second.
@@ -66,7 +66,7 @@
     let manifest = Manifest {
         version: declared.version,
         change: Box::default(),
-        author: AUTHOR.into(),
+        author: ROW_AUTHOR.into(),
         unix_ms: 0,
         previous: None,
         documents: Manifest::index(&documents),
--- a/src/platform/readiness.rs
+++ b/src/platform/readiness.rs
@@ -10,7 +10,7 @@
 use crate::web::{HttpListener, caller_text, listen};
 
 const READINESS_PATH: &str = "/readyz";
-const TEXT: &str = "text/plain; charset=utf-8";
+const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
 
 /// Serves whether the daemon accepts callers.
 ///
@@ -25,11 +25,17 @@
         let ready = shared.is_ready();
         async move {
             match (request.uri().path(), ready) {
-                (READINESS_PATH, true) => caller_text(StatusCode::OK, TEXT, "ready\n"),
-                (READINESS_PATH, false) => {
-                    caller_text(StatusCode::SERVICE_UNAVAILABLE, TEXT, "not ready\n")
-                }
-                _ => caller_text(StatusCode::NOT_FOUND, TEXT, "no such resource\n"),
+                (READINESS_PATH, true) => caller_text(StatusCode::OK, TEXT_CONTENT_TYPE, "ready\n"),
+                (READINESS_PATH, false) => caller_text(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    TEXT_CONTENT_TYPE,
+                    "not ready\n",
+                ),
+                _ => caller_text(
+                    StatusCode::NOT_FOUND,
+                    TEXT_CONTENT_TYPE,
+                    "no such resource\n",
+                ),
             }
         }
     })
--- a/src/policy/admission/threshold.rs
+++ b/src/policy/admission/threshold.rs
@@ -19,7 +19,7 @@
 const WINDOW_CALLS: u32 = 20;
 /// Demand to admit as a multiple of the measured capacity; above 1, so that the
 /// queue does not run empty.
-const HEADROOM: f64 = 1.05;
+const DEMAND_RATIO: f64 = 1.05;
 /// Share of the queue's distance from half full that one window corrects.
 const QUEUE_CORRECTION: f64 = 0.2;
 /// Factor by which the counts of earlier windows decay at each new one.
@@ -143,7 +143,8 @@
 
     fn adjust(&mut self, backlog: Backlog) {
         let room = backlog.max_waiting as f64 / 2.0 - backlog.waiting as f64;
-        let target = (f64::from(self.start_count) * HEADROOM + room * QUEUE_CORRECTION).max(1.0);
+        let target =
+            (f64::from(self.start_count) * DEMAND_RATIO + room * QUEUE_CORRECTION).max(1.0);
         let offered = self.offered();
         if offered > target {
             if self.shed_count > 0 {
--- a/src/policy/member/neighbours.rs
+++ b/src/policy/member/neighbours.rs
@@ -5,7 +5,7 @@
 use crate::model::{CentreName, Instance};
 
 /// Number of delegates per data centre.
-const DELEGATES: usize = 4;
+const DELEGATE_COUNT: usize = 4;
 
 /// Hash seeds that select the neighbours besides the watched one.
 const NEAR_SEED: u64 = 1;
@@ -79,13 +79,13 @@
 /// readers per data centre is then the same for any size.
 pub fn read_probability(view: &View) -> f64 {
     let members = view.running().members(&view.own().centre).count();
-    DELEGATES as f64 / members.max(DELEGATES) as f64
+    DELEGATE_COUNT as f64 / members.max(DELEGATE_COUNT) as f64
 }
 
 /// Returns whether the daemon whose view this is ranks among the first of its
 /// data centre, so that it should use the platform's store for the others.
 pub fn is_delegate(view: &View) -> bool {
     let own = view.own();
-    let mut first = view.running().members(&own.centre).take(DELEGATES);
+    let mut first = view.running().members(&own.centre).take(DELEGATE_COUNT);
     first.any(|instance| instance == own.instance)
 }
--- a/src/policy/route/table.rs
+++ b/src/policy/route/table.rs
@@ -193,7 +193,8 @@
         self.ejector.admits(now, target)
     }
 
-    /// Counts a call as sent to a target that was chosen in another way.
+    /// Counts a call as sent to `instance`. The methods that choose a target do
+    /// so themselves; callers use this for the owner of a once key.
     pub fn record_sent(&mut self, instance: Instance) {
         self.ejector.record_sent(instance);
         if let Some(target) = self.find(instance) {
--- a/src/tables/log_limiter.rs
+++ b/src/tables/log_limiter.rs
@@ -5,8 +5,8 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// Log lines about single calls, per second and per burst. At the 13 daemons of
-/// the users' smallest estate this is 650 lines a second, about 200 KB.
+/// Log lines about single calls, per second and per burst. In an estate of 13
+/// daemons this is 650 lines a second, about 200 KB.
 const LINES_PER_S: f64 = 50.0;
 const LINES_BURST: f64 = 200.0;
 
