--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,4 +1,4 @@
-//! The estate of Nordlysvakt in one process, through an overload and faults.
+//! Runs the estate of Nordlysvakt in one process through an overload and faults.
 //!
 //! `cargo run --release --example demo -- --scenario surge --seed 7 --json`
 
@@ -20,7 +20,7 @@
 use report::Report;
 use scenario::{Phase, RequestKind, Scenario, request_kinds};
 
-/// Shows an estate of daemons through a surge, a slowed service, a drained
+/// Runs an estate of daemons through a surge, a slowed service, a drained
 /// server and a data centre that is cut off.
 #[derive(FromArgs)]
 struct Args {
@@ -49,7 +49,7 @@
         .build()
         .wrap_err("cannot start threads")?;
     let is_correct = runtime.block_on(run(&args))?;
-    // Daemons are left as they are: the process ends with them.
+    // The daemons need no shutdown, since the process exits.
     runtime.shutdown_background();
     Ok(if is_correct {
         ExitCode::SUCCESS
@@ -77,7 +77,7 @@
         task.await?;
         classes.push((kind, samples));
     }
-    // Requests sent last may still be under way.
+    // The last requests may still be in progress.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let report = Report::new(&site, &classes, &phases, start);
     if args.json {
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,4 +1,4 @@
-//! The table at the end.
+//! The final table of results.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::scenario::{Event, Phase, RequestKind};
+use crate::scenario::{Disturbance, Phase, RequestKind};
 
-/// Shortest window in which goodput is looked at.
+/// Shortest window in which the share of complete answers is computed.
 const MIN_WINDOW: Duration = Duration::from_millis(250);
-/// Requests that a window must hold.
+/// Requests that a window must contain on average.
 const MIN_WINDOW_REQUESTS: f64 = 20.0;
-/// Share of requests answered whole that counts as back to normal.
+/// Share of complete answers from which a class counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
 
-/// One class of work.
+/// Results of one class of requests.
 #[derive(Serialize)]
 pub(crate) struct ClassRow {
     class: &'static str,
@@ -29,12 +29,11 @@
     run_twice: usize,
     p50_ms: f64,
     p99_ms: f64,
-    /// Longest time from the end of a disturbance until the share of whole
-    /// answers was back to normal.
+    /// Longest time from the end of a disturbance until the class recovered.
     recovery_s: f64,
 }
 
-/// The whole table.
+/// Results of all classes.
 #[derive(Serialize)]
 pub(crate) struct Report {
     rows: Vec<ClassRow>,
@@ -82,13 +81,13 @@
         Self { rows }
     }
 
-    /// Tells whether no answer was wrong and no once call ran twice.
+    /// Returns whether no answer was wrong and no key ran twice.
     pub(crate) fn is_correct(&self) -> bool {
         self.rows.iter().all(|r| r.wrong == 0 && r.run_twice == 0)
     }
 }
 
-/// Counts keys that ran more than once, over all servers of the service.
+/// Counts the keys that ran more than once on all servers of the service.
 fn run_twice(site: &Site, kind: &RequestKind) -> usize {
     let mut runs = std::collections::HashMap::new();
     let servers = site
@@ -107,14 +106,15 @@
     let mut longest = Duration::ZERO;
     for pair in phases.windows(2) {
         end += pair[0].length;
-        if pair[0].event != Event::None {
+        if pair[0].disturbance != Disturbance::None {
             longest = longest.max(time_to_recovery(samples, window, end, end + pair[1].length));
         }
     }
     longest.as_secs_f64()
 }
 
-/// Returns the end of the last window after `from` that was not normal.
+/// Returns the time from `from` to the end of the last window below
+/// [`RECOVERED_SHARE`].
 fn time_to_recovery(
     samples: &[Sample],
     window: Duration,
--- a/examples/demo/scenario.rs
+++ b/examples/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the estate, and what its callers ask for.
+//! The phases of the scenarios and the requests of the callers.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use bramleymount::model::ServiceName;
 use http::Method;
 
-/// Which phases are run.
+/// Selects the phases to run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
     All,
@@ -38,9 +38,9 @@
     }
 }
 
-/// A disturbance of the estate.
+/// A disturbance of the estate during a phase.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Event {
+pub(crate) enum Disturbance {
     None,
     Surge,
     Slow,
@@ -48,26 +48,26 @@
     Cut,
 }
 
-/// A stretch of time.
+/// A period of a scenario with its demand and disturbance.
 #[derive(Clone)]
 pub(crate) struct Phase {
     pub(crate) name: &'static str,
     pub(crate) length: Duration,
     pub(crate) demand_factor: f64,
-    pub(crate) event: Event,
+    pub(crate) disturbance: Disturbance,
 }
 
 impl Phase {
-    fn new(name: &'static str, secs: u64, demand_factor: f64, event: Event) -> Self {
+    fn new(name: &'static str, secs: u64, demand_factor: f64, disturbance: Disturbance) -> Self {
         Self {
             name,
             length: Duration::from_secs(secs),
             demand_factor,
-            event,
+            disturbance,
         }
     }
 
-    /// Returns the phase at a time since the start.
+    /// Returns the phase that runs `time` after the start.
     pub(crate) fn at(phases: &[Self], time: Duration) -> Option<&Self> {
         let mut end = Duration::ZERO;
         phases.iter().find(|phase| {
@@ -77,28 +77,28 @@
     }
 
     pub(crate) fn enter(&self, site: &Site) {
-        match self.event {
-            Event::None | Event::Surge => {}
-            Event::Slow => set_slowdown(site, 5),
-            Event::Drain => {
+        match self.disturbance {
+            Disturbance::None | Disturbance::Surge => {}
+            Disturbance::Slow => set_slowdown(site, 5),
+            Disturbance::Drain => {
                 if let Some(server) = archive_server(site) {
                     server.daemon.guard().drain();
                 }
             }
-            Event::Cut => site.network.partition(Zone::new(1), Zone::new(2)),
+            Disturbance::Cut => site.network.partition(Zone::new(1), Zone::new(2)),
         }
     }
 
     pub(crate) fn leave(&self, site: &Site) {
-        match self.event {
-            Event::None | Event::Surge => {}
-            Event::Slow => set_slowdown(site, 1),
-            Event::Drain => {
+        match self.disturbance {
+            Disturbance::None | Disturbance::Surge => {}
+            Disturbance::Slow => set_slowdown(site, 1),
+            Disturbance::Drain => {
                 if let Some(server) = archive_server(site) {
                     server.daemon.guard().renew_lease(false);
                 }
             }
-            Event::Cut => site.network.heal(Zone::new(1), Zone::new(2)),
+            Disturbance::Cut => site.network.heal(Zone::new(1), Zone::new(2)),
         }
     }
 }
@@ -122,7 +122,7 @@
 
 impl Scenario {
     pub(crate) fn phases(self) -> Vec<Phase> {
-        let calm = || Phase::new("calm", 4, 1.0, Event::None);
+        let calm = || Phase::new("calm", 4, 1.0, Disturbance::None);
         let mut phases = vec![calm()];
         let mut add = |which: Self, phase: Phase| {
             if self == Self::All || self == which {
@@ -132,32 +132,42 @@
         };
         add(
             Self::Surge,
-            Phase::new("surge: ten times the demand", 5, 10.0, Event::Surge),
+            Phase::new("surge: ten times the demand", 5, 10.0, Disturbance::Surge),
         );
         add(
             Self::Slow,
-            Phase::new("station-status five times slower", 5, 1.0, Event::Slow),
+            Phase::new(
+                "station-status five times slower",
+                5,
+                1.0,
+                Disturbance::Slow,
+            ),
         );
         add(
             Self::Drain,
-            Phase::new("one forecast-archive server drained", 3, 1.0, Event::Drain),
+            Phase::new(
+                "one forecast-archive server drained",
+                3,
+                1.0,
+                Disturbance::Drain,
+            ),
         );
         add(
             Self::Cut,
-            Phase::new("data centre oslo-2 cut off", 5, 1.0, Event::Cut),
+            Phase::new("data centre oslo-2 cut off", 5, 1.0, Disturbance::Cut),
         );
         phases
     }
 }
 
-/// One kind of request with its rate.
+/// A kind of request with its rate.
 pub(crate) struct RequestKind {
     pub(crate) class: &'static str,
     pub(crate) workload: Workload,
     pub(crate) rate: f64,
 }
 
-/// Returns what the callers ask for in calm times.
+/// Returns the requests of the callers, with their rates outside a surge.
 pub(crate) fn request_kinds(scale: f64) -> Vec<RequestKind> {
     let kind = |class, service: &str, method, path: &str, with_key, body_bytes, rate: f64| {
         let service: Option<ServiceName> = service.parse().ok();
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -9,7 +9,7 @@
 fn main() -> eyre::Result<()> {
     let address: SocketAddr = std::env::args()
         .nth(1)
-        .ok_or_else(|| eyre!("name the address to listen on, such as 127.0.0.1:7000"))?
+        .ok_or_else(|| eyre!("missing address to listen on, such as 127.0.0.1:7000"))?
         .parse()
         .wrap_err("the address must be IP:PORT")?;
     let server = serve_standin(address, Arc::new(MemoryPlatform::default()))?;
--- a/src/emulator/backend.rs
+++ b/src/emulator/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server with slots, a service time and onward calls.
+//! An emulated backend server with slots, a service time and onward calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
 use crate::model::ServiceName;
 use crate::web::{Client, HttpRequest, HttpResponse, ThreadedServer, answer_text, serve};
 
-/// The header that an emulated backend server gives back in its answer.
+/// Request header that an emulated backend server copies into its answer.
 pub const TAG_HEADER: HeaderName = HeaderName::from_static("x-tag");
-/// The header with the idempotency key.
+/// Request header with the idempotency key.
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
-/// How long a daemon may take to answer an onward call.
+/// Timeout of an onward call.
 const ONWARD_CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest answer to an onward call, in bytes.
+/// Largest accepted answer to an onward call.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// A call that a backend server makes for each of its own.
+/// A call that a backend server makes for each call it receives.
 #[derive(Clone, Debug)]
 pub struct OnwardCall {
-    /// The service that is called.
+    /// The called service.
     pub service: ServiceName,
-    /// The path.
+    /// The request's path.
     pub path: Box<str>,
 }
 
-/// How a backend server behaves; it can be changed while it runs.
+/// Behaviour of a backend server, which can change while the server runs.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// How long a call takes, besides its onward calls.
+    /// Duration of a call without its onward calls.
     pub service_time: Duration,
-    /// Size of the answer, in bytes.
+    /// Size of the answer body.
     pub answer_bytes: usize,
-    /// The calls it makes for each of its own.
+    /// Calls made one after another for each received call.
     pub onward_calls: Vec<OnwardCall>,
 }
 
@@ -73,7 +73,8 @@
 }
 
 impl BackendServer {
-    /// Starts one on `address`; onward calls go to the entry at `daemon`.
+    /// Starts a backend server on `address`, which sends onward calls to the
+    /// daemon's callers' address `daemon`.
     ///
     /// # Errors
     ///
@@ -103,17 +104,17 @@
         })
     }
 
-    /// Changes how it behaves from now on.
+    /// Changes the behaviour for calls whose body is received from now on.
     pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.state.behaviour.lock());
     }
 
-    /// Returns how often each idempotency key ran.
+    /// Returns the number of runs of each idempotency key.
     pub fn runs_by_key(&self) -> HashMap<Box<str>, u32> {
         self.state.runs_by_key.lock().clone()
     }
 
-    /// Returns the bytes of bodies received so far.
+    /// Returns the total size of the request bodies received so far.
     pub fn received_bytes(&self) -> u64 {
         *self.state.received_bytes.lock()
     }
@@ -124,7 +125,7 @@
         let (head, ext) = request.into_parts();
         let (_, body) = ext.replace_body(());
         let Ok(_slot) = self.slots.acquire().await else {
-            return answer_text(StatusCode::SERVICE_UNAVAILABLE, "closed");
+            return answer_text(StatusCode::SERVICE_UNAVAILABLE, "backend server is closed");
         };
         if let Some(key) = head
             .headers
@@ -134,7 +135,7 @@
             *self.runs_by_key.lock().entry(key.into()).or_default() += 1;
         }
         if !self.receive_body(body).await {
-            return answer_text(StatusCode::BAD_REQUEST, "the body was cut");
+            return answer_text(StatusCode::BAD_REQUEST, "incomplete request body");
         }
         let behaviour = self.behaviour.lock().clone();
         if !behaviour.service_time.is_zero() {
@@ -145,7 +146,7 @@
                 .make_onward_call(onward, head.headers.get(CALL_HEADER))
                 .await
             {
-                return answer_text(status, "an onward call failed");
+                return answer_text(status, "onward call failed");
             }
         }
         let mut answer = HttpResponse::new(ResponseBody::bytes(vec![b'x'; behaviour.answer_bytes]));
@@ -155,6 +156,7 @@
         answer
     }
 
+    /// Reads a request body to its end and returns whether it is complete.
     async fn receive_body(&self, mut body: RequestBody) -> bool {
         while let Some(chunk) = body.data().await {
             match chunk {
--- a/src/emulator/caller.rs
+++ b/src/emulator/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: an open load of requests, and what became of each.
+//! Callers that send an open-loop workload and record the outcome of each request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,41 +18,42 @@
 use crate::model::ServiceName;
 use crate::web::{Answer, Client};
 
-/// Calls that one load may have out; more are counted as shed by the caller.
+/// Approximate limit of concurrent requests of a workload. Further requests are
+/// neither sent nor recorded.
 const MAX_CONCURRENT_REQUESTS: usize = 4096;
 
-/// What a caller saw of one request.
+/// Outcome of a request as its caller observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// The whole answer to its own request.
+    /// The complete answer to the caller's own request.
     Complete,
-    /// It was told that the request was shed.
+    /// A refusal because of overload or a missed deadline.
     Shed,
-    /// It was told of a failure.
+    /// Any other refusal, an error status or no answer.
     Failed,
-    /// Somebody else's answer, or one that was not whole.
+    /// The answer to another request, or one of the wrong length.
     Wrong,
 }
 
-/// One request that ended.
+/// A finished request.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When it was sent.
+    /// When the request was first sent.
     pub start: Instant,
-    /// When it ended.
+    /// When the last attempt ended.
     pub end: Instant,
-    /// What the caller saw.
+    /// The outcome of the last attempt.
     pub outcome: CallerOutcome,
 }
 
-/// All requests of one load.
+/// The finished requests of a workload.
 #[derive(Debug, Default)]
 pub struct SampleLog {
     samples: Mutex<Vec<Sample>>,
 }
 
 impl SampleLog {
-    /// Returns the samples so far.
+    /// Returns the samples recorded so far.
     pub fn samples(&self) -> Vec<Sample> {
         self.samples.lock().clone()
     }
@@ -62,29 +63,29 @@
     }
 }
 
-/// A load of one kind of request.
+/// The requests that a group of callers sends, all of one kind.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The service.
+    /// The called service.
     pub service: ServiceName,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path.
+    /// The request's path.
     pub path: Box<str>,
-    /// Whether each request bears an idempotency key.
+    /// Whether each request has an idempotency key.
     pub with_key: bool,
-    /// Size of the body, in bytes.
+    /// Size of the request body.
     pub body_bytes: usize,
-    /// Bytes that a whole answer has.
+    /// Size of the body of a complete answer.
     pub answer_bytes: usize,
-    /// How often a request that was not run is sent again, without back-off.
+    /// Largest number of retries of a shed or failed request, without back-off.
     pub max_retries: u32,
 }
 
-/// Sends requests at `rate` a second, which may change, until `stop` is due.
+/// Sends requests to random `entries` until `stop`.
 ///
-/// Requests are sent whether or not earlier ones have ended, to one of
-/// `entries` at random.
+/// Requests start at random intervals, `rate` per second on average, whether or
+/// not earlier ones have ended.
 pub async fn run_workload(
     workload: Workload,
     entries: Arc<Vec<SocketAddr>>,
@@ -188,11 +189,11 @@
         if !answer.status.is_success() {
             return CallerOutcome::Failed;
         }
-        let own = answer
+        let is_own = answer
             .headers
             .get(TAG_HEADER)
             .is_some_and(|tag| tag == &*self.tag);
-        if own && answer.body.len() == self.workload.answer_bytes {
+        if is_own && answer.body.len() == self.workload.answer_bytes {
             CallerOutcome::Complete
         } else {
             CallerOutcome::Wrong
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -1,5 +1,5 @@
-//! Small emulators of the systems that a daemon serves, for the demo, the
-//! benchmarks and the tests.
+//! Emulated backend servers, callers and networks around real daemons, for the
+//! demo, the benchmarks and the tests.
 
 mod backend;
 mod caller;
--- a/src/emulator/ports.rs
+++ b/src/emulator/ports.rs
@@ -5,16 +5,18 @@
 
 use crate::error::Error;
 
-/// The ports that are given out; below those that the system gives to
-/// connections, which could take a port before it is listened on.
+/// First allocated port. The range lies below the ephemeral ports of the system:
+/// an outgoing connection could take one of those before a server listens on it.
 const FIRST_PORT: u16 = 10_000;
+/// Number of ports in the range.
 const PORT_COUNT: u16 = 20_000;
-/// Ports by which processes that run at the same time start apart.
+/// Distance between the first ports of processes with consecutive ids, so that
+/// concurrent processes rarely try the same ports.
 const PROCESS_STRIDE: u32 = 997;
 
 static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
-/// Returns an address on loopback that nothing listens on.
+/// Returns an unused address on 127.0.0.1.
 ///
 /// # Errors
 ///
@@ -23,9 +25,9 @@
     free_address_on(Ipv4Addr::LOCALHOST.into())
 }
 
-/// Returns an address on `ip` that nothing listens on.
+/// Returns an unused address on `ip`.
 ///
-/// No port is given out twice by one process until all have been.
+/// A process gets a port again only after it has tried all others.
 ///
 /// # Errors
 ///
@@ -40,5 +42,5 @@
             return Ok(address);
         }
     }
-    Err(Error::remote(format!("no port of {ip} is free")))
+    Err(Error::remote(format!("no free port on {ip}")))
 }
--- a/src/emulator/relay.rs
+++ b/src/emulator/relay.rs
@@ -1,4 +1,4 @@
-//! A relay before a listener, on which the emulated network acts.
+//! A TCP relay in front of a listener, which applies network partitions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use super::{Network, Zone};
 use crate::error::Error;
 
-/// Bytes read at once.
+/// Size of the read buffer per direction.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Passes connections on, unless the two sides are cut off from each other.
+/// Relays connections, unless a partition separates the two zones.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -22,7 +22,7 @@
 }
 
 impl Relay {
-    /// Relays connections to `address` on to `target`.
+    /// Relays connections from `address` to `target`.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
         Ok(Self { address, task })
     }
 
-    /// Returns the address it listens on.
+    /// Returns the address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -75,12 +75,14 @@
     );
 }
 
-/// Holds a connection open in silence until the other side gives up.
+/// Keeps a connection open without an answer until the other side closes it.
 async fn read_until_closed(mut stream: TcpStream) {
     let mut buffer = [0; 1024];
     while let Ok(1..) = stream.read(&mut buffer).await {}
 }
 
+/// Copies data in one direction. Once a partition has dropped data, all that
+/// follows is dropped too, since a stream with a gap would be corrupt.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/src/emulator/site.rs
+++ b/src/emulator/site.rs
@@ -16,51 +16,51 @@
 use crate::policy::route::Balance;
 use crate::store::MemoryPlatform;
 
-/// How often emulated backend servers renew their announcements.
+/// Interval at which emulated backend servers renew their leases.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
-/// How long a site may take until all of its daemons know each other.
+/// Timeout until all daemons of a site know each other.
 const MEMBERS_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One backend server with its daemon.
+/// A backend server with its daemon.
 pub struct Server {
     /// The daemon.
     pub daemon: Daemon,
     /// The backend server.
     pub backend: BackendServer,
-    /// Where callers reach the daemon.
+    /// The daemon's address for callers.
     pub callers: SocketAddr,
     /// The service.
     pub service: ServiceName,
-    /// The zone of its data centre.
+    /// The zone of the data centre.
     pub zone: Zone,
     renewal_task: tokio::task::JoinHandle<()>,
     _relay: Option<Relay>,
 }
 
 impl Server {
-    /// Ends daemon and backend server at once, as a lost VM would.
+    /// Stops daemon and backend server without a shutdown, as the loss of a VM does.
     pub fn kill(self) {
         self.renewal_task.abort();
         self.daemon.kill();
     }
 }
 
-/// The servers of an estate, the platform and the network between them.
+/// The servers of an estate with their platform and network.
 pub struct Site {
     /// The servers.
     pub servers: Vec<Server>,
-    /// The platform.
+    /// The in-memory platform.
     pub platform: Arc<MemoryPlatform>,
-    /// The network.
+    /// The network between data centres.
     pub network: Arc<Network>,
-    /// The declarations in force.
+    /// The declarations that [`Self::apply_estate`] applies.
     pub estate: Estate,
     without_relays: bool,
 }
 
 impl Site {
-    /// Loads declarations and scales them down: to the first `centres` data
-    /// centres with one server of each service, and `scale` of the slots.
+    /// Loads declarations and scales them down to the first `centres` data centres,
+    /// one server per service in each, and the share `scale` of the slots (at least 2).
     ///
     /// # Errors
     ///
@@ -81,11 +81,12 @@
         Ok(estate)
     }
 
-    /// Starts all servers of an estate and puts it in force.
+    /// Starts all servers of an estate and applies its declarations.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound or the estate does not settle.
+    /// Fails if an address cannot be bound, the declarations are not accepted, or
+    /// the daemons do not discover each other in time.
     pub async fn start(
         estate: Estate,
         behaviour_of: impl Fn(&ServiceName) -> Behaviour,
@@ -93,12 +94,13 @@
         Self::start_servers(estate, behaviour_of, false).await
     }
 
-    /// Starts all servers of an estate without a network between them that
-    /// could be cut, for measurements of latency.
+    /// Like [`Self::start`], but without relays between the daemons, which would
+    /// add latency. Network partitions have no effect.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound or the estate does not settle.
+    /// Fails if an address cannot be bound, the declarations are not accepted, or
+    /// the daemons do not discover each other in time.
     pub async fn start_without_relays(
         estate: Estate,
         behaviour_of: impl Fn(&ServiceName) -> Behaviour,
@@ -134,7 +136,7 @@
         Ok(site)
     }
 
-    /// Adds one server.
+    /// Starts and adds a server.
     ///
     /// # Errors
     ///
@@ -198,7 +200,7 @@
         } else {
             free_address_on(ip)?
         };
-        let first = self.servers.iter().take(3);
+        let neighbours = self.servers.iter().take(3);
         Ok(Config {
             centre: centre.clone(),
             hall: hall.clone(),
@@ -211,7 +213,7 @@
             },
             backend: free_address_on(ip)?,
             platform: SocketAddr::new(ip, 1),
-            neighbours: first
+            neighbours: neighbours
                 .map(|server| server.daemon.shared().instance.address)
                 .collect(),
             hosting: None,
@@ -228,11 +230,11 @@
         })
     }
 
-    /// Puts the estate's declarations in force.
+    /// Applies the estate's declarations.
     ///
     /// # Errors
     ///
-    /// Fails if they are not accepted.
+    /// Fails if the declarations are not accepted.
     pub async fn apply_estate(&self) -> Result<Version, Error> {
         let Some(first) = self.servers.first() else {
             return Ok(Version::NONE);
@@ -246,15 +248,17 @@
         };
         match apply(shared, request).await {
             ApplyResult::Accepted { version } => Ok(version),
-            other => Err(Error::remote(format!("not accepted: {other:?}"))),
+            other => Err(Error::remote(format!(
+                "declarations not accepted: {other:?}"
+            ))),
         }
     }
 
-    /// Waits until every daemon knows all others and the version in force.
+    /// Waits until every daemon knows all others and has a configuration.
     ///
     /// # Errors
     ///
-    /// Fails if that takes too long.
+    /// Fails after 60 seconds.
     pub async fn wait_for_members(&self) -> Result<(), Error> {
         let ready = || {
             self.servers.iter().all(|server| {
@@ -275,7 +279,7 @@
         };
         tokio::time::timeout(MEMBERS_TIMEOUT, wait)
             .await
-            .map_err(|_| Error::remote("the daemons did not all learn of each other in 60 s"))
+            .map_err(|_| Error::remote("not all daemons discovered each other within 60 s"))
     }
 }
 
--- a/tests/support/crashing.rs
+++ b/tests/support/crashing.rs
@@ -1,4 +1,4 @@
-//! Backend servers that crash under some requests.
+//! Backend servers that some requests crash.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 
 use super::hosted::{Vm, vm_without_server};
 
-/// How long a server works on a request, as users' servers do.
+/// Processing time of a request, similar to that of users' servers.
 const SERVICE_TIME: Duration = Duration::from_millis(100);
-/// How long after its start a deadly request crashes its server.
+/// Time from the start of a deadly request to the crash of its server.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
 
-/// One run of a request at a server.
+/// A request that a server has started to run.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub at: Instant,
     pub path: String,
 }
 
-/// A backend server that crashes under each request whose path ends with
-/// `/deadly`, and under those of the caller `till` that end with `/partial`.
-/// It is back after a while as another run.
+/// A backend server that crashes on each request whose path ends with `/deadly`,
+/// and on those from the service `till` whose path ends with `/partial`.
+/// [`CrashingVm`] restarts it under a new instance id.
 pub struct CrashingServer {
     address: SocketAddr,
     listening: Mutex<Option<HttpListener>>,
     instance_id: Mutex<String>,
-    /// All that it began to run, in order.
+    /// All started requests, in order.
     pub runs: Mutex<Vec<Run>>,
-    /// When it crashed.
+    /// The times of the crashes.
     pub crashes: Mutex<Vec<Instant>>,
 }
 
@@ -76,7 +76,7 @@
         answer
     }
 
-    /// Ends the server: its port is closed and all its connections are cut.
+    /// Crashes the server: closes its port and all its connections.
     pub fn crash(&self) {
         if self.listening.lock().take().is_some() {
             self.crashes.lock().push(Instant::now());
@@ -88,7 +88,7 @@
     }
 }
 
-/// A VM whose backend server may crash, and is started again `downtime` after.
+/// A VM that restarts its backend server `downtime` after each crash.
 pub struct CrashingVm {
     pub vm: Arc<Vm>,
     pub server: Arc<CrashingServer>,
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -1,4 +1,5 @@
-//! Daemons and backend servers as the platform runs them, in one process.
+//! VMs in one process: daemons with backend servers that announce themselves as on
+//! the platform.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,13 +28,13 @@
     /// The headers of each run.
     pub run_headers: Mutex<Vec<HeaderMap>>,
     pub active_runs: AtomicUsize,
-    /// When each request came, and the service on whose VM it began.
+    /// All requests, including those that were refused.
     pub arrivals: Mutex<Vec<Arrival>>,
     /// Headers that the server adds to all answers.
     pub answer_headers: Mutex<HeaderMap>,
 }
 
-/// One request that came to a backend server.
+/// A request that reached a backend server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
@@ -47,7 +48,7 @@
         *self.answer_headers.lock() = headers(pairs);
     }
 
-    /// Returns how many requests of some services came from `from` to `to`.
+    /// Returns the number of requests of some services from `from` to before `to`.
     pub fn count_arrivals(&self, from: Instant, to: Instant, origins: &[&str]) -> usize {
         let arrivals = self.arrivals.lock();
         let within = arrivals
@@ -73,9 +74,10 @@
     }
 }
 
-/// How long the answers to `/late-` take.
+/// Delay of answers to paths with `/late-`.
 const LATE_ANSWER_DELAY: Duration = Duration::from_millis(300);
 
+/// Counts a run as active until dropped, also if its request is cancelled.
 struct ActiveRun<'s>(&'s AtomicUsize);
 
 impl Drop for ActiveRun<'_> {
@@ -135,7 +137,7 @@
     answer
 }
 
-/// One VM: daemon and backend server.
+/// A VM with a daemon and a backend server.
 pub struct Vm {
     pub daemon: Daemon,
     pub callers: SocketAddr,
@@ -145,7 +147,7 @@
     pub record: Arc<ServerRecord>,
     pub server: String,
     pub service: String,
-    /// Where its backend server listens.
+    /// The address of the backend server.
     pub backend: SocketAddr,
     settings: String,
     running: Option<HttpListener>,
@@ -156,7 +158,7 @@
     vm_with(service, store, "").await
 }
 
-/// The same with more lines of settings.
+/// Starts a VM with a backend server that answers and additional settings.
 pub async fn vm_with(service: &str, store: SocketAddr, settings: &str) -> Vm {
     let mut vm = vm_without_server_with(service, store, settings).await;
     let (record, id) = (Arc::clone(&vm.record), vm.server.clone());
@@ -176,12 +178,12 @@
     .await
 }
 
-/// Starts the daemon of a VM whose backend server is started elsewhere.
+/// Starts a VM without its backend server.
 pub async fn vm_without_server(service: &str, store: SocketAddr) -> Vm {
     vm_without_server_with(service, store, "").await
 }
 
-/// Starts the daemon of a VM with some more lines of settings.
+/// Starts a VM without its backend server, with additional lines of settings.
 pub async fn vm_without_server_with(service: &str, store: SocketAddr, lines: &str) -> Vm {
     let port = || free_address().expect("a port");
     let (callers, announcements, readiness, backend) = (port(), port(), port(), port());
@@ -208,7 +210,7 @@
 }
 
 impl Vm {
-    /// Kills the daemon and starts it again beside the server, which runs on.
+    /// Kills and restarts the daemon while the backend server keeps running.
     pub async fn restart(mut self) -> Self {
         self.daemon.kill();
         self.daemon = start_daemon(&self.settings).await;
@@ -220,7 +222,7 @@
         self.announce_with(&more).await
     }
 
-    /// Announces the server with some fields in place of the usual ones.
+    /// Announces the server with `fields` in addition to the common ones.
     pub async fn announce_with(&self, fields: &str) -> Answer {
         let body = format!(
             r#"{{"upstream":"{}","address":"127.0.0.1:1","zone":"hall-a","version":"v1",
@@ -230,7 +232,7 @@
         self.announce_raw(body.into()).await
     }
 
-    /// Announces a run of the server under an id of its own.
+    /// Announces the server under the instance id `server`.
     pub async fn announce_as(&self, server: &str, state: &str, sequence: u64) -> Answer {
         let body = format!(
             r#"{{"upstream":"{}","slots":20,"state":"{state}","coldLeftS":0,
@@ -247,7 +249,7 @@
         answer.expect("an acknowledgement")
     }
 
-    /// Says goodbye for the server.
+    /// Removes the server's announcement.
     pub async fn announce_removal(&self) -> Answer {
         let url = self.instance_url();
         let answer = request(Method::DELETE, &url, HeaderMap::new(), Bytes::new()).await;
@@ -271,12 +273,12 @@
         .await;
     }
 
-    /// Sends a request of `id` and waits for the answer.
+    /// Sends a request with the id `id` and returns the answer.
     pub async fn send(&self, method: Method, path: &str, id: &str) -> Answer {
         self.send_with(method, path, id, &[]).await
     }
 
-    /// Sends a request of `id` with some more headers.
+    /// Sends a request with the id `id` and additional headers.
     pub async fn send_with(
         &self,
         method: Method,
@@ -297,7 +299,7 @@
     }
 }
 
-/// A document that sends `/read/` and `/write/` to `service`.
+/// Returns a document that routes `/read/` and `/write/` to `service`.
 pub fn document(version: u64, service: &str, timeout: f64) -> String {
     let route = |path: &str, kind: &str| {
         format!(
@@ -313,7 +315,8 @@
     )
 }
 
-/// A document with keys: `/read/` and `/write/` ask for one, `/open/` does not.
+/// Returns a document with API keys: `/read/` and `/write/` require one, `/open/`
+/// does not.
 pub fn keyed_document(version: u64, service: &str, workspaces: &str) -> String {
     let route = |path: &str, public: bool| {
         format!(
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send at a steady rate.
+//! Callers that send requests at a constant rate.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::hosted::Vm;
 
-/// Requests that callers sent, by how they ended.
+/// Numbers of requests by their outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadOutcomes {
     pub served: usize,
@@ -23,8 +23,8 @@
     }
 }
 
-/// Sends reads of paths that begin with `path` to the entries in turn, so many a
-/// second, and waits for all answers.
+/// Sends `per_second` reads for `time` to the entries in turn and waits for all
+/// answers. The paths consist of `path` and a number.
 pub async fn send_reads(
     entries: &[&Vm],
     path: &str,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of real programs share.
+//! Shared helpers of the tests that run real daemons.
 
 #![allow(dead_code, missing_docs, unreachable_pub)]
 
@@ -20,17 +20,21 @@
 use http::{HeaderMap, HeaderValue, Method, Request};
 use http_body_util::Full;
 
-/// Longest wait for something that must come true; only a failing test waits so long.
+/// Timeout of [`eventually`], which only a failing test reaches.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Waits until `done` gives a value.
+/// Polls `done` until it returns a value.
+///
+/// # Panics
+///
+/// Panics after [`MAX_WAIT`], with `what` in the message.
 pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, done: impl Fn() -> F) -> T {
     let end = Instant::now() + MAX_WAIT;
     loop {
         if let Some(value) = done().await {
             return value;
         }
-        assert!(Instant::now() < end, "{what} did not come true");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -42,7 +46,7 @@
     (address, memory, running)
 }
 
-/// A daemon as a process, ended when dropped.
+/// A daemon in a process of its own, killed when dropped.
 pub struct DaemonProcess {
     pub child: Child,
     pub callers: SocketAddr,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Sends the signal of a planned stop.
+    /// Sends SIGTERM, which starts a planned stop.
     pub fn terminate(&self) {
         let done = Command::new("kill")
             .arg("-TERM")
--- a/tests/support/rows.rs
+++ b/tests/support/rows.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store, in the platform's words.
+//! A stand-in for the platform's row store that speaks the platform's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-/// How the stand-in misbehaves.
+/// A fault of the stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RowsFault {
     #[default]
     None,
-    /// Says 503 and does nothing.
+    /// Answers 503 without an effect.
     Busy,
-    /// Does nothing and never answers.
+    /// Never answers, without an effect.
     Silent,
-    /// Does what is asked and never answers.
+    /// Executes requests, but never answers.
     LoseAnswers,
-    /// Has forgotten its history.
+    /// Answers 410 to requests for the feed, as if its history had expired.
     HistoryExpired,
 }
 
@@ -32,7 +32,7 @@
 struct StoredRow {
     value: Option<String>,
     ver: u64,
-    /// What is told of the row, if another writer made it.
+    /// Answered in place of the row, to test rows that other writers made.
     raw: Option<Value>,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// What a store goes back to.
+/// Content of the store that it can restore.
 #[derive(Clone, Debug)]
 struct Snapshot {
     stored_rows: BTreeMap<Key, StoredRow>,
@@ -60,9 +60,8 @@
     ver: u64,
     fault: RowsFault,
     calls: u64,
-    /// Rises by one each time that the store goes back; not told while 0.
+    /// Incremented by each restore; left out of answers while 0.
     era: u64,
-    /// What the store goes back to.
     snapshot: Option<Snapshot>,
 }
 
@@ -121,7 +120,7 @@
         self.rows.lock().fault = fault;
     }
 
-    /// Begins to tell the era, and copies what is there.
+    /// Takes a snapshot for [`Self::restore`]. From now on answers carry the era.
     pub fn take_snapshot(&self) {
         let mut rows = self.rows.lock();
         rows.era = rows.era.max(1);
@@ -129,15 +128,15 @@
         rows.snapshot = Some(Snapshot { stored_rows, ver });
     }
 
-    /// Goes back to the copy; versions given out since are given out again.
+    /// Restores the snapshot. Versions assigned since then are assigned again.
     pub fn restore(&self) {
         self.restore_and_put(&[]);
     }
 
-    /// Goes back, and takes writes before anyone is told of it.
+    /// Restores the snapshot and writes `puts` before any request sees the restore.
     pub fn restore_and_put(&self, puts: &[(&str, &str, &str)]) {
         let mut rows = self.rows.lock();
-        let Snapshot { stored_rows, ver } = rows.snapshot.clone().expect("a copy");
+        let Snapshot { stored_rows, ver } = rows.snapshot.clone().expect("a snapshot");
         rows.stored_rows = stored_rows;
         rows.ver = ver;
         rows.era += 1;
@@ -148,7 +147,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns the names of the rows of a table.
+    /// Returns the keys of the rows of a table.
     pub fn row_names(&self, table: &str) -> Vec<String> {
         let rows = self.rows.lock();
         let there = rows
@@ -165,13 +164,13 @@
         self.rows.lock().calls
     }
 
-    /// Writes a row as the operator does.
+    /// Writes a row as the operator does, without a condition.
     pub fn put(&self, table: &str, name: &str, text: &str) {
         self.rows.lock().put(table, name, text);
         self.changed.notify_waiters();
     }
 
-    /// Lets a row be told as it stands in `raw`.
+    /// Writes a row that is answered as the JSON text `raw`.
     pub fn put_raw(&self, table: &str, name: &str, raw: &str) {
         let mut rows = self.rows.lock();
         rows.ver += 1;
